--- a/crates/core/src/back_ends/directory.rs
+++ b/crates/core/src/back_ends/directory.rs
@@ -4,8 +4,8 @@
 
 use super::back_end::{BackEnd, BackEndState};
 use super::directory_entry::{DirectoryEntry, Usability};
-use super::directory_news::{DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryNews};
-use super::former_era::FormerEra;
+use super::directory_news::{DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate};
+use super::former_era::PreviousEra;
 use super::history::ChangeHistory;
 use crate::store::Position;
 use crate::time::Timestamp;
@@ -26,7 +26,7 @@
     /// Entries that were spoiled: who is told the whole directory must not take them for vanished a moment ago.
     spoiled: BTreeSet<BackEndName>,
     history: ChangeHistory,
-    former_era: FormerEra,
+    former_era: PreviousEra,
     /// Whether the store went back since the directory was first read.
     went_back: bool,
 }
@@ -195,7 +195,7 @@
 
     /// What leads a replica that stands at `position` to this one, without a change when it stands there already; `None`
     /// when it is ahead. A replica that tells no era is told none.
-    pub fn news_since(&self, position: Position) -> Option<DirectoryNews> {
+    pub fn news_since(&self, position: Position) -> Option<DirectoryUpdate> {
         if !self.known {
             return None;
         }
@@ -205,24 +205,24 @@
         let same_era = Position::new(self.position.era, position.revision);
         let news = if self.went_back && same_era < self.position {
             // Its revision may be one of the former era, from which changes of this one don't lead on.
-            Some(DirectoryNews::Listing(self.listing()))
+            Some(DirectoryUpdate::Listing(self.listing()))
         } else {
             self.news_after(same_era)
         };
-        news.map(DirectoryNews::without_era)
+        news.map(DirectoryUpdate::without_era)
     }
 
-    fn news_after(&self, position: Position) -> Option<DirectoryNews> {
+    fn news_after(&self, position: Position) -> Option<DirectoryUpdate> {
         if position > self.position {
             return None;
         }
         if position >= self.changed_at {
-            return Some(DirectoryNews::Changes(DirectoryChanges { position: self.position, changes: Vec::new() }));
+            return Some(DirectoryUpdate::Changes(DirectoryChanges { position: self.position, changes: Vec::new() }));
         }
         let changes = self.history.since(position);
         Some(match changes {
-            Some(changes) => DirectoryNews::Changes(DirectoryChanges { position: self.position, changes }),
-            None => DirectoryNews::Listing(self.listing()),
+            Some(changes) => DirectoryUpdate::Changes(DirectoryChanges { position: self.position, changes }),
+            None => DirectoryUpdate::Listing(self.listing()),
         })
     }
 
--- a/crates/core/src/back_ends/directory_news.rs
+++ b/crates/core/src/back_ends/directory_news.rs
@@ -49,19 +49,19 @@
 
 /// What leads a replica of the directory to a newer position.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub enum DirectoryNews {
+pub enum DirectoryUpdate {
     /// The changes since the position that was asked from.
     Changes(DirectoryChanges),
     /// The whole directory: the changes are no longer known.
     Listing(DirectoryListing),
 }
 
-impl DirectoryNews {
+impl DirectoryUpdate {
     /// The position that the news lead to.
     pub fn position(&self) -> Position {
         match self {
-            DirectoryNews::Changes(changes) => changes.position,
-            DirectoryNews::Listing(listing) => listing.position,
+            DirectoryUpdate::Changes(changes) => changes.position,
+            DirectoryUpdate::Listing(listing) => listing.position,
         }
     }
 
@@ -79,8 +79,8 @@
 
     fn at(self, position: Position) -> Self {
         match self {
-            DirectoryNews::Changes(changes) => DirectoryNews::Changes(DirectoryChanges { position, ..changes }),
-            DirectoryNews::Listing(listing) => DirectoryNews::Listing(DirectoryListing { position, ..listing }),
+            DirectoryUpdate::Changes(changes) => DirectoryUpdate::Changes(DirectoryChanges { position, ..changes }),
+            DirectoryUpdate::Listing(listing) => DirectoryUpdate::Listing(DirectoryListing { position, ..listing }),
         }
     }
 }
--- a/crates/core/src/back_ends/former_era.rs
+++ b/crates/core/src/back_ends/former_era.rs
@@ -30,12 +30,12 @@
 
 /// Which lives were gone before the store went back, and when it did.
 #[derive(Clone, Debug, Default)]
-pub struct FormerEra {
+pub struct PreviousEra {
     departed: BTreeMap<BackEndName, Departed>,
     went_back_at: Option<Timestamp>,
 }
 
-impl FormerEra {
+impl PreviousEra {
     /// Notes that a life is gone.
     pub fn note_departed(&mut self, id: &BackEndId, at: Timestamp) {
         if self.departed.len() >= DEPARTED_MAXIMUM {
--- a/crates/core/src/back_ends/limits.rs
+++ b/crates/core/src/back_ends/limits.rs
@@ -34,7 +34,7 @@
     /// Where the sender takes notices; names it.
     pub sender: Address,
     /// The limits.
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<AnnouncedLimit>,
 }
 
 impl LimitNotice {
@@ -44,7 +44,7 @@
 
 /// What a back end said that it takes.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ToldLimit {
+pub struct AnnouncedLimit {
     /// The back end.
     pub back_end: BackEndId,
     /// What it takes from all nodes together; `None`: it named no limit any more.
@@ -55,7 +55,7 @@
 
 /// A limit that was not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeardLimit {
+pub struct LimitChange {
     /// The limit.
     pub limit: RequestRate,
     /// Whether none was known before.
@@ -123,9 +123,9 @@
     }
 
     /// Takes in a limit that a back end named in an answer that came at `now`; `None` where it is the one that was known.
-    pub fn name(&mut self, id: &BackEndId, limit: RequestRate, now: Timestamp) -> Option<HeardLimit> {
+    pub fn name(&mut self, id: &BackEndId, limit: RequestRate, now: Timestamp) -> Option<LimitChange> {
         let begins = self.limits.get(id).is_none_or(|known| known.limit.is_none());
-        self.take_in(id, Some(limit), now, now).then_some(HeardLimit { limit, begins })
+        self.take_in(id, Some(limit), now, now).then_some(LimitChange { limit, begins })
     }
 
     /// Takes in that an answer to a request that was sent at `sent_at` named no limit; returns whether the back end had one until then.
@@ -135,7 +135,7 @@
     }
 
     /// Takes in what a peer tells; returns what was not known. Of several words of a back end the one that it said last counts, whichever way it came.
-    pub fn receive(&mut self, notice: LimitNotice, now: Timestamp) -> Vec<ToldLimit> {
+    pub fn receive(&mut self, notice: LimitNotice, now: Timestamp) -> Vec<AnnouncedLimit> {
         let mut told = notice.limits;
         told.truncate(LimitNotice::LIMITS_MAXIMUM);
         told.retain(|told| {
@@ -185,17 +185,17 @@
     }
 
     /// What peers are told of these back ends.
-    pub fn told<'i>(&self, ids: impl IntoIterator<Item = &'i BackEndId>, now: Timestamp) -> Vec<ToldLimit> {
+    pub fn told<'i>(&self, ids: impl IntoIterator<Item = &'i BackEndId>, now: Timestamp) -> Vec<AnnouncedLimit> {
         let told = |id: &BackEndId| {
             let named = self.limits.get(id)?;
             let age_millis = u32::try_from(now.since(named.said_at).as_millis()).unwrap_or(u32::MAX);
-            Some(ToldLimit { back_end: id.clone(), limit: named.limit, age_millis })
+            Some(AnnouncedLimit { back_end: id.clone(), limit: named.limit, age_millis })
         };
         ids.into_iter().filter_map(told).collect()
     }
 
     /// Some of the back ends that have said something of limits lately, chosen anew each time, as many as fit one notice.
-    pub fn some(&self, random: &mut fastrand::Rng, now: Timestamp) -> Vec<ToldLimit> {
+    pub fn some(&self, random: &mut fastrand::Rng, now: Timestamp) -> Vec<AnnouncedLimit> {
         let chosen = random.choose_multiple(self.limits.keys(), LimitNotice::LIMITS_MAXIMUM);
         self.told(chosen, now)
     }
--- a/crates/core/src/back_ends/mod.rs
+++ b/crates/core/src/back_ends/mod.rs
@@ -14,9 +14,11 @@
 pub use back_end::{BackEnd, BackEndState, EngineStage};
 pub use directory::Directory;
 pub use directory_entry::{DirectoryEntry, LAST_RESORT, Usability};
-pub use directory_news::{DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryNews};
+pub use directory_news::{DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate};
 pub use former_era::{DOUBTED, WRITTEN_AGAIN};
 pub use health::{BackEndHealth, HealthLimits};
-pub use limits::{BackEndLimits, HeardLimit, LIFT_AFTER, LIMIT_FORGOTTEN, LimitNotice, SharingNodes, ToldLimit};
-pub use notices::{BackEndNotice, BackEndNotices, HeardNotice, LeavingNotice, REST_MAXIMUM, ToldLeaving, Unwelcome};
+pub use limits::{AnnouncedLimit, BackEndLimits, LIFT_AFTER, LIMIT_FORGOTTEN, LimitChange, LimitNotice, SharingNodes};
+pub use notices::{
+    BackEndNotice, BackEndNotices, DrainNotice, DrainingBackEnd, Ineligibility, NoticeEffect, REST_MAXIMUM,
+};
 pub use request_rate::RequestRate;
--- a/crates/core/src/back_ends/notices.rs
+++ b/crates/core/src/back_ends/notices.rs
@@ -9,7 +9,7 @@
 use speedy::{Readable, Writable};
 
 use super::directory_entry::{DirectoryEntry, LAST_RESORT, Usability};
-use super::limits::{BackEndLimits, HeardLimit};
+use super::limits::{BackEndLimits, LimitChange};
 use super::request_rate::RequestRate;
 use crate::time::Timestamp;
 use crate::world::{Address, BackEndId};
@@ -35,32 +35,32 @@
 
 /// What a notice has changed in what the node believes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HeardNotice {
+pub struct NoticeEffect {
     /// Whether it was not known before that the back end leaves.
     pub leaves: bool,
     /// How long the back end rests from now on, where that is longer than was known before.
     pub rest: Option<Duration>,
     /// What the back end takes from all nodes together, where that is not what it said before.
-    pub limit: Option<HeardLimit>,
+    pub limit: Option<LimitChange>,
 }
 
 /// Back ends that said that they leave, as one node tells others. That one wants rest is not told: it is said to one node.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct LeavingNotice {
+pub struct DrainNotice {
     /// Where the sender takes notices; names it.
     pub sender: Address,
     /// The back ends.
-    pub back_ends: Vec<ToldLeaving>,
+    pub back_ends: Vec<DrainingBackEnd>,
 }
 
-impl LeavingNotice {
+impl DrainNotice {
     /// The back ends in one notice: with names of a hundred bytes it still fits a datagram.
     pub const BACK_ENDS_MAXIMUM: usize = 8;
 }
 
 /// A back end that said that it leaves.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ToldLeaving {
+pub struct DrainingBackEnd {
     /// The back end.
     pub back_end: BackEndId,
     /// How long ago it said so, in milliseconds.
@@ -69,7 +69,7 @@
 
 /// Why nothing new may be sent to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unwelcome {
+pub enum Ineligibility {
     /// It said so long ago that it leaves that it may end.
     Leaves,
     /// It asked for rest that is not over.
@@ -78,13 +78,13 @@
     AtLimit,
 }
 
-impl Unwelcome {
+impl Ineligibility {
     /// The word in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
-            Unwelcome::Leaves => "leaves",
-            Unwelcome::Rests => "rests",
-            Unwelcome::AtLimit => "at_limit",
+            Ineligibility::Leaves => "leaves",
+            Ineligibility::Rests => "rests",
+            Ineligibility::AtLimit => "at_limit",
         }
     }
 }
@@ -104,16 +104,16 @@
 
 impl BackEndNotices {
     /// Takes in what an answer said that came at `now`.
-    pub fn note(&mut self, id: &BackEndId, notice: BackEndNotice, now: Timestamp) -> HeardNotice {
+    pub fn note(&mut self, id: &BackEndId, notice: BackEndNotice, now: Timestamp) -> NoticeEffect {
         let leaves = notice.leaves && self.note_leaving(id, now);
         let rest = notice.rest.and_then(|rest| self.note_rest(id, rest.min(REST_MAXIMUM), now));
         let limit = notice.limit.and_then(|limit| self.limits.name(id, limit, now));
-        HeardNotice { leaves, rest, limit }
+        NoticeEffect { leaves, rest, limit }
     }
 
     /// Takes in what a peer tells; returns the back ends of which it was not known.
-    pub fn receive(&mut self, notice: &LeavingNotice, now: Timestamp) -> Vec<BackEndId> {
-        let told = notice.back_ends.iter().take(LeavingNotice::BACK_ENDS_MAXIMUM);
+    pub fn receive(&mut self, notice: &DrainNotice, now: Timestamp) -> Vec<BackEndId> {
+        let told = notice.back_ends.iter().take(DrainNotice::BACK_ENDS_MAXIMUM);
         let news = told.filter(|told| {
             let age = Duration::from_millis(u64::from(told.age_millis));
             self.note_leaving(&told.back_end, now - age)
@@ -122,17 +122,17 @@
     }
 
     /// What peers are told of these back ends, as far as they leave.
-    pub fn told<'i>(&self, ids: impl IntoIterator<Item = &'i BackEndId>, now: Timestamp) -> Vec<ToldLeaving> {
+    pub fn told<'i>(&self, ids: impl IntoIterator<Item = &'i BackEndId>, now: Timestamp) -> Vec<DrainingBackEnd> {
         let told = |id: &BackEndId| {
             let age = now.since(*self.leaving.get(id)?).as_millis();
-            Some(ToldLeaving { back_end: id.clone(), age_millis: u32::try_from(age).unwrap_or(u32::MAX) })
+            Some(DrainingBackEnd { back_end: id.clone(), age_millis: u32::try_from(age).unwrap_or(u32::MAX) })
         };
         ids.into_iter().filter_map(told).collect()
     }
 
     /// The back ends of which was heard last that they leave, as many as fit one notice.
-    pub fn newest(&self, now: Timestamp) -> Vec<ToldLeaving> {
-        self.told(self.leaving_order.iter().rev().take(LeavingNotice::BACK_ENDS_MAXIMUM), now)
+    pub fn newest(&self, now: Timestamp) -> Vec<DrainingBackEnd> {
+        self.told(self.leaving_order.iter().rev().take(DrainNotice::BACK_ENDS_MAXIMUM), now)
     }
 
     /// Takes in that a back end said at `said_at` that it leaves; returns whether that was not known.
@@ -187,27 +187,27 @@
     }
 
     /// Why nothing new may be sent to a back end, by its own word; `None` when something may.
-    pub fn unwelcome(&self, id: &BackEndId, now: Timestamp) -> Option<Unwelcome> {
+    pub fn unwelcome(&self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
         let has_left = self.leaving.get(id).is_some_and(|said_at| now.since(*said_at) >= LAST_RESORT);
         if has_left {
-            return Some(Unwelcome::Leaves);
+            return Some(Ineligibility::Leaves);
         }
         if self.rest_left(id, now).is_some() {
-            return Some(Unwelcome::Rests);
+            return Some(Ineligibility::Rests);
         }
-        self.limits.wait_left(id, now).map(|_| Unwelcome::AtLimit)
+        self.limits.wait_left(id, now).map(|_| Ineligibility::AtLimit)
     }
 
     /// Notes that this node calls a back end now, for a caller or for itself, and tells what speaks against it. A back end that names a limit
     /// counts each call, whatever it is for.
-    pub fn note_call(&mut self, id: &BackEndId, now: Timestamp) -> Option<Unwelcome> {
+    pub fn note_call(&mut self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
         let unwelcome = self.unwelcome(id, now);
         self.limits.note_sent(id, now);
         unwelcome
     }
 
     /// What speaks against a call to a back end; where nothing does, the call is noted. One that is held back takes no turn.
-    pub fn note_call_if_welcome(&mut self, id: &BackEndId, now: Timestamp) -> Option<Unwelcome> {
+    pub fn note_call_if_welcome(&mut self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
         self.unwelcome(id, now).or_else(|| self.note_call(id, now))
     }
 
--- a/crates/core/src/duties/usage/counts.rs
+++ b/crates/core/src/duties/usage/counts.rs
@@ -59,11 +59,11 @@
 
 /// Which counts a node has told to which candidate.
 #[derive(Clone, Debug, Default)]
-pub struct UsageTelling {
+pub struct UsageAnnouncements {
     told: BTreeMap<Address, BTreeMap<WindowNumber, Told>>,
 }
 
-impl UsageTelling {
+impl UsageAnnouncements {
     /// The windows whose counts are to be told to `receiver` now, at `true_time`: those that have changed, and those that
     /// have ended and were not told twice since their last change. A receiver that was told nothing yet is told all.
     pub fn due(
--- a/crates/core/src/duties/usage/mod.rs
+++ b/crates/core/src/duties/usage/mod.rs
@@ -13,7 +13,7 @@
 mod table;
 mod window;
 
-pub use counts::{UsageCounts, UsageCountsMessage, UsageTelling};
+pub use counts::{UsageAnnouncements, UsageCounts, UsageCountsMessage};
 pub use ledger::{LedgerWrite, UsageLedger, UsageReport, UsageReports, UsageStep};
 pub use table::UsageTable;
 pub use window::{UsageConfig, UsageConfigError, WindowNumber};
--- a/crates/core/src/relay/blame.rs
+++ b/crates/core/src/relay/blame.rs
@@ -12,7 +12,7 @@
 
 /// An engine that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EngineEnd {
+pub struct EngineTermination {
     /// When.
     pub at: Timestamp,
     /// What ran there, and when it was sent there.
@@ -21,7 +21,7 @@
 
 /// A request that ends are put down to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Blamed {
+pub struct Attribution {
     /// The request.
     pub content: ContentId,
     /// The ends that count against it, also those that are put down to another one as well.
@@ -32,7 +32,7 @@
 
 /// When ends count against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BlameRules {
+pub struct AttributionRules {
     /// The ends that it takes.
     pub least: usize,
     /// Engines that end within this time of each other ended for one reason, as those of a rack do, and count once; unless the
@@ -45,7 +45,7 @@
 /// The one with most ends goes first, and what is put down to it counts no more for the rest. Where two have equally many,
 /// and the ends of one would leave too few for the other, nobody can tell which it was: neither is blamed, since the next end
 /// tells, until there are twice as many as it takes.
-pub fn blame(ends: &[EngineEnd], rules: &BlameRules) -> Vec<Blamed> {
+pub fn blame(ends: &[EngineTermination], rules: &AttributionRules) -> Vec<Attribution> {
     let weigh = |content: &ContentId, indices: &BTreeSet<usize>| weight(ends, *content, indices, rules.one_moment);
     let all = ends_by_content(ends);
     let mut open = all.clone();
@@ -63,7 +63,7 @@
             };
             if most >= 2 * rules.least || leaders.iter().all(leaves_enough) {
                 let last = indices.iter().map(|index| ends[*index].at).max().unwrap_or_default();
-                blamed.push(Blamed { content: *content, ends: weigh(content, &all[content]), last });
+                blamed.push(Attribution { content: *content, ends: weigh(content, &all[content]), last });
                 open.values_mut().for_each(|open| *open = &*open - indices);
             }
         }
@@ -71,7 +71,7 @@
 }
 
 /// The ends among `indices` that count against a request: each for itself, but those of one moment together.
-fn weight(ends: &[EngineEnd], content: ContentId, indices: &BTreeSet<usize>, one_moment: Duration) -> usize {
+fn weight(ends: &[EngineTermination], content: ContentId, indices: &BTreeSet<usize>, one_moment: Duration) -> usize {
     let mut counted = 0;
     let mut last: Option<Timestamp> = None;
     for end in indices.iter().map(|index| &ends[*index]) {
@@ -84,7 +84,7 @@
     counted
 }
 
-fn ends_by_content(ends: &[EngineEnd]) -> BTreeMap<ContentId, BTreeSet<usize>> {
+fn ends_by_content(ends: &[EngineTermination]) -> BTreeMap<ContentId, BTreeSet<usize>> {
     let mut by_content: BTreeMap<ContentId, BTreeSet<usize>> = BTreeMap::new();
     for (index, end) in ends.iter().enumerate() {
         for content in end.runs.keys() {
--- a/crates/core/src/relay/ends_message.rs
+++ b/crates/core/src/relay/ends_message.rs
@@ -8,29 +8,29 @@
 
 /// Engines that ended, and requests that were answered after all.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct EndsNotice {
+pub struct TerminationNotice {
     /// Where the sender takes notices; names it.
     pub sender: Address,
     /// Engines that ended.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<ReportedTermination>,
     /// Requests that were answered whole since an engine ended under them.
     pub served: Vec<ServedContent>,
 }
 
 /// An engine that ended while it ran requests for the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ToldEnd {
+pub struct ReportedTermination {
     /// The engine.
     pub engine: EngineTag,
     /// How long ago, in microseconds: whether a request was sent before or after an end is a matter of a few.
     pub age_micros: u64,
     /// What it ran.
-    pub runs: Vec<ToldRun>,
+    pub runs: Vec<ReportedRun>,
 }
 
 /// A request that an engine ran when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ToldRun {
+pub struct ReportedRun {
     /// The request.
     pub content: ContentId,
     /// How long before the end it was sent there, in microseconds.
--- a/crates/core/src/relay/engine_cache.rs
+++ b/crates/core/src/relay/engine_cache.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::prompt::PromptPart;
-use super::readings_message::ToldPart;
+use super::readings_message::AnnouncedPart;
 use crate::time::Timestamp;
 
 /// The parts that an engine keeps. Engines give up what was not used for the longest time, so a part is there until as
@@ -60,24 +60,24 @@
     }
 
     /// The parts, those used last first, so many at most.
-    pub(super) fn told_parts(&self, parts_maximum: usize) -> Vec<ToldPart> {
-        let told = self.parts.iter().map(|(id, kept)| ToldPart {
+    pub(super) fn told_parts(&self, parts_maximum: usize) -> Vec<AnnouncedPart> {
+        let told = self.parts.iter().map(|(id, kept)| AnnouncedPart {
             part: PromptPart { id: *id, tokens: kept.tokens },
             brought_since: self.brought - kept.brought_before,
         });
-        let mut parts: Vec<ToldPart> = told.collect();
+        let mut parts: Vec<AnnouncedPart> = told.collect();
         parts.sort_by_key(|told| (told.brought_since, told.part.id));
         parts.truncate(parts_maximum);
         parts
     }
 
     /// Takes in what a peer believes; parts that are known here stay as they are.
-    pub(super) fn adopt(&mut self, told: Vec<ToldPart>, now: Timestamp) {
+    pub(super) fn adopt(&mut self, told: Vec<AnnouncedPart>, now: Timestamp) {
         let oldest = told.iter().map(|told| told.brought_since).max().unwrap_or(0);
         let missing = oldest.saturating_sub(self.brought);
         self.brought += missing;
         self.parts.values_mut().for_each(|kept| kept.brought_before += missing);
-        for ToldPart { part, brought_since } in told {
+        for AnnouncedPart { part, brought_since } in told {
             let brought_before = self.brought - brought_since;
             self.parts.entry(part.id).or_insert(KeptPart { tokens: part.tokens, used_at: now, brought_before });
         }
--- a/crates/core/src/relay/engine_ends.rs
+++ b/crates/core/src/relay/engine_ends.rs
@@ -10,19 +10,19 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use super::blame::{BlameRules, Blamed, EngineEnd, blame};
+use super::blame::{Attribution, AttributionRules, EngineTermination, blame};
 use super::content::ContentId;
-use super::ends_message::{EndsNotice, ServedContent, ToldEnd, ToldRun};
+use super::ends_message::{ReportedRun, ReportedTermination, ServedContent, TerminationNotice};
 use super::engine_tag::EngineTag;
 use crate::time::{Timestamp, doubled};
 use crate::world::Address;
 
-/// Limits of [`EngineEnds`].
+/// Limits of [`EngineTerminations`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineEndsConfig {
+pub struct EngineTerminationsConfig {
     /// When ends count against a request, and how many block it. One or two may be chance: an engine ends, and a
     /// request that was repeated meets the next end. Its moment is longer than nodes differ in when they notice an end.
-    pub rules: BlameRules,
+    pub rules: AttributionRules,
     /// How long a request is blocked after the last end, when it has come to the number that blocks it.
     pub first_block: Duration,
     /// The longest block; each further end doubles it up to this.
@@ -43,10 +43,10 @@
     pub tells: u32,
 }
 
-impl Default for EngineEndsConfig {
+impl Default for EngineTerminationsConfig {
     fn default() -> Self {
-        EngineEndsConfig {
-            rules: BlameRules { least: 3, one_moment: Duration::from_millis(50) },
+        EngineTerminationsConfig {
+            rules: AttributionRules { least: 3, one_moment: Duration::from_millis(50) },
             first_block: Duration::from_secs(120),
             longest_block: Duration::from_secs(3_600),
             kept: Duration::from_secs(7_200),
@@ -62,7 +62,7 @@
 
 /// A request that an engine ran when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EndedRun {
+pub struct TerminatedRun {
     /// The request.
     pub content: ContentId,
     /// When it was sent there.
@@ -78,35 +78,35 @@
 
 #[derive(Clone, Copy, Debug)]
 enum News {
-    Ended { engine: EngineTag, run: EndedRun, at: Timestamp },
+    Ended { engine: EngineTag, run: TerminatedRun, at: Timestamp },
     Served { content: ContentId, at: Timestamp },
 }
 
 /// Engines that ended, and the requests that are blocked for it.
 #[derive(Clone, Debug)]
-pub struct EngineEnds {
-    config: EngineEndsConfig,
+pub struct EngineTerminations {
+    config: EngineTerminationsConfig,
     /// Oldest first, as they were learned.
-    ends: VecDeque<(EngineTag, EngineEnd)>,
+    ends: VecDeque<(EngineTag, EngineTermination)>,
     /// In how many of `ends` a request is.
     counts: HashMap<ContentId, usize>,
-    blamed: BTreeMap<ContentId, Blamed>,
+    blamed: BTreeMap<ContentId, Attribution>,
     /// Requests that were answered whole after engines had ended under them, and when; oldest first. A peer that did not hear of
     /// it may go on telling of the ends before.
     cleared: VecDeque<(ContentId, Timestamp)>,
     untold: VecDeque<Untold>,
 }
 
-impl Default for EngineEnds {
+impl Default for EngineTerminations {
     fn default() -> Self {
-        EngineEnds::new(EngineEndsConfig::default())
+        EngineTerminations::new(EngineTerminationsConfig::default())
     }
 }
 
-impl EngineEnds {
+impl EngineTerminations {
     /// No engine has ended.
-    pub fn new(config: EngineEndsConfig) -> Self {
-        EngineEnds {
+    pub fn new(config: EngineTerminationsConfig) -> Self {
+        EngineTerminations {
             config,
             ends: VecDeque::new(),
             counts: HashMap::new(),
@@ -117,7 +117,7 @@
     }
 
     /// Notes that `engine` ended at `at` while it did `runs` for this node. Returns the requests that are blocked from now on.
-    pub fn note_ended(&mut self, engine: EngineTag, runs: &[EndedRun], at: Timestamp) -> Vec<Blamed> {
+    pub fn note_ended(&mut self, engine: EngineTag, runs: &[TerminatedRun], at: Timestamp) -> Vec<Attribution> {
         let tells = self.config.tells;
         for run in runs {
             self.untold.push_back(Untold { news: News::Ended { engine, run: *run, at }, tells });
@@ -128,14 +128,14 @@
     }
 
     /// Takes in what a peer tells. Returns the requests that are blocked from now on.
-    pub fn receive(&mut self, notice: &EndsNotice, now: Timestamp) -> Vec<Blamed> {
+    pub fn receive(&mut self, notice: &TerminationNotice, now: Timestamp) -> Vec<Attribution> {
         for end in &notice.ends {
             let at = now - Duration::from_micros(end.age_micros);
-            let run = |told: &ToldRun| EndedRun {
+            let run = |told: &ReportedRun| TerminatedRun {
                 content: told.content,
                 sent_at: at - Duration::from_micros(u64::from(told.ran_micros)),
             };
-            let runs: Vec<EndedRun> = end.runs.iter().map(run).collect();
+            let runs: Vec<TerminatedRun> = end.runs.iter().map(run).collect();
             self.tell_cleared_again(&runs, at);
             self.insert(end.engine, at, &runs);
         }
@@ -151,7 +151,7 @@
     /// Notes that a request was answered whole: it doesn't end its engines, so it only ran beside one that does, or on engines
     /// that ended for another reason. Returns the requests that are blocked from now on, since the ends are now put down to them;
     /// `None` when no engine had ended under it.
-    pub fn note_served(&mut self, content: ContentId, now: Timestamp) -> Option<Vec<Blamed>> {
+    pub fn note_served(&mut self, content: ContentId, now: Timestamp) -> Option<Vec<Attribution>> {
         if !self.clear(content, now) {
             return None;
         }
@@ -182,8 +182,8 @@
     }
 
     /// What peers are to be told next; `None` when there is nothing.
-    pub fn notice(&mut self, sender: Address, now: Timestamp) -> Option<EndsNotice> {
-        let mut notice = EndsNotice { sender, ends: Vec::new(), served: Vec::new() };
+    pub fn notice(&mut self, sender: Address, now: Timestamp) -> Option<TerminationNotice> {
+        let mut notice = TerminationNotice { sender, ends: Vec::new(), served: Vec::new() };
         let told = self.untold.len().min(self.config.told_maximum);
         for untold in self.untold.drain(..told).collect::<Vec<_>>() {
             match untold.news {
@@ -200,7 +200,7 @@
     }
 
     /// The ends that a request is blamed for, to be kept where they outlast all nodes; `None` when it isn't blamed.
-    pub fn blamed_ends(&self, content: ContentId, now: Timestamp) -> Option<Vec<ToldEnd>> {
+    pub fn blamed_ends(&self, content: ContentId, now: Timestamp) -> Option<Vec<ReportedTermination>> {
         self.blamed.get(&content)?;
         let mut ends = Vec::new();
         self.add_ends_of(content, self.config.told_maximum, now, &mut ends);
@@ -214,29 +214,35 @@
 
     /// The requests that are blamed, and the ends that they are blamed for, for a node that has just started or was out of reach:
     /// as many as one notice tells, those with the last ends first.
-    pub fn known_blame(&self, sender: Address, now: Timestamp) -> Option<EndsNotice> {
-        let mut blamed: Vec<&Blamed> = self.blamed.values().collect();
+    pub fn known_blame(&self, sender: Address, now: Timestamp) -> Option<TerminationNotice> {
+        let mut blamed: Vec<&Attribution> = self.blamed.values().collect();
         blamed.sort_by_key(|blamed| std::cmp::Reverse(blamed.last));
         let mut ends = Vec::new();
         let mut left = self.config.told_maximum;
-        for Blamed { content, .. } in blamed {
+        for Attribution { content, .. } in blamed {
             left -= self.add_ends_of(*content, left, now, &mut ends);
         }
-        (!ends.is_empty()).then(|| EndsNotice { sender, ends, served: Vec::new() })
+        (!ends.is_empty()).then(|| TerminationNotice { sender, ends, served: Vec::new() })
     }
 
     /// Adds up to `most` ends under a request to `told`; returns how many there were.
-    fn add_ends_of(&self, content: ContentId, most: usize, now: Timestamp, told: &mut Vec<ToldEnd>) -> usize {
-        let of_content = |(engine, end): &(EngineTag, EngineEnd)| {
+    fn add_ends_of(
+        &self,
+        content: ContentId,
+        most: usize,
+        now: Timestamp,
+        told: &mut Vec<ReportedTermination>,
+    ) -> usize {
+        let of_content = |(engine, end): &(EngineTag, EngineTermination)| {
             let sent_at = *end.runs.get(&content)?;
-            Some((*engine, EndedRun { content, sent_at }, end.at))
+            Some((*engine, TerminatedRun { content, sent_at }, end.at))
         };
         let ends = self.ends.iter().filter_map(of_content).take(most);
         ends.map(|(engine, run, at)| add_run(told, engine, run, at, now)).count()
     }
 
     /// Forgets what no longer counts. Returns the requests that are blocked from now on, since what is left is put down to them.
-    pub fn tidy(&mut self, now: Timestamp) -> Vec<Blamed> {
+    pub fn tidy(&mut self, now: Timestamp) -> Vec<Attribution> {
         let kept = self.config.kept;
         let before = self.ends.len();
         while self.ends.front().is_some_and(|(_, end)| now.since(end.at) >= kept) {
@@ -256,14 +262,14 @@
         self.ends.is_empty()
     }
 
-    fn insert(&mut self, engine: EngineTag, at: Timestamp, runs: &[EndedRun]) {
+    fn insert(&mut self, engine: EngineTag, at: Timestamp, runs: &[TerminatedRun]) {
         let index = match self.ends.iter().rposition(|(known, _)| *known == engine) {
             Some(index) => index,
             None => {
                 if self.ends.len() >= self.config.ends_maximum {
                     self.forget_oldest();
                 }
-                self.ends.push_back((engine, EngineEnd { at, runs: BTreeMap::new() }));
+                self.ends.push_back((engine, EngineTermination { at, runs: BTreeMap::new() }));
                 self.ends.len() - 1
             }
         };
@@ -273,7 +279,7 @@
         let (_, end) = &mut self.ends[index];
         // Whoever noticed first is nearest to the truth.
         end.at = end.at.min(at);
-        for EndedRun { content, sent_at } in runs {
+        for TerminatedRun { content, sent_at } in runs {
             let is_known = end.runs.contains_key(content);
             if !is_known && !was_cleared(content, end.at) && end.runs.len() < self.config.contents_maximum {
                 end.runs.insert(*content, *sent_at);
@@ -307,7 +313,7 @@
     }
 
     /// A peer that blames a request for an end before its whole answer has not heard of that answer.
-    fn tell_cleared_again(&mut self, runs: &[EndedRun], end_at: Timestamp) {
+    fn tell_cleared_again(&mut self, runs: &[TerminatedRun], end_at: Timestamp) {
         let is_waiting = |content: ContentId| {
             let tells_of =
                 |untold: &Untold| matches!(untold.news, News::Served { content: told, .. } if told == content);
@@ -337,7 +343,7 @@
 
     /// Puts the ends down to requests anew, after any of them has changed: what one request is cleared of may decide for another
     /// one. Returns those that are blamed now and weren't before.
-    fn weigh_anew(&mut self) -> Vec<Blamed> {
+    fn weigh_anew(&mut self) -> Vec<Attribution> {
         let ends = if self.counts.keys().any(|content| self.may_be_blamed(content)) {
             self.ends_that_may_count()
         } else {
@@ -354,17 +360,17 @@
     }
 
     /// The ends in the order of time, without the requests that can't be blamed.
-    fn ends_that_may_count(&self) -> Vec<EngineEnd> {
-        let of_suspects = |(_, end): &(EngineTag, EngineEnd)| {
+    fn ends_that_may_count(&self) -> Vec<EngineTermination> {
+        let of_suspects = |(_, end): &(EngineTag, EngineTermination)| {
             let runs = end.runs.iter().filter(|(content, _)| self.may_be_blamed(content));
-            EngineEnd { at: end.at, runs: runs.map(|(content, sent_at)| (*content, *sent_at)).collect() }
+            EngineTermination { at: end.at, runs: runs.map(|(content, sent_at)| (*content, *sent_at)).collect() }
         };
-        let mut ends: Vec<EngineEnd> = self.ends.iter().map(of_suspects).collect();
+        let mut ends: Vec<EngineTermination> = self.ends.iter().map(of_suspects).collect();
         ends.sort_by_key(|end| end.at);
         ends
     }
 
-    fn block_end(&self, blamed: &Blamed) -> Timestamp {
+    fn block_end(&self, blamed: &Attribution) -> Timestamp {
         let further = u32::try_from(blamed.ends.saturating_sub(self.config.rules.least)).unwrap_or(u32::MAX);
         blamed.last + doubled(self.config.first_block, further, self.config.longest_block)
     }
@@ -375,12 +381,12 @@
     }
 }
 
-fn add_run(ends: &mut Vec<ToldEnd>, engine: EngineTag, run: EndedRun, at: Timestamp, now: Timestamp) {
+fn add_run(ends: &mut Vec<ReportedTermination>, engine: EngineTag, run: TerminatedRun, at: Timestamp, now: Timestamp) {
     let ran_micros = u32::try_from(at.since(run.sent_at).as_micros()).unwrap_or(u32::MAX);
-    let told = ToldRun { content: run.content, ran_micros };
+    let told = ReportedRun { content: run.content, ran_micros };
     match ends.iter_mut().find(|end| end.engine == engine) {
         Some(end) => end.runs.push(told),
-        None => ends.push(ToldEnd { engine, age_micros: age(at, now), runs: vec![told] }),
+        None => ends.push(ReportedTermination { engine, age_micros: age(at, now), runs: vec![told] }),
     }
 }
 
--- a/crates/core/src/relay/engine_model.rs
+++ b/crates/core/src/relay/engine_model.rs
@@ -27,14 +27,14 @@
 /// What prefill engines have read that had nothing else to read. Totals of several nodes can be added up, which estimates
 /// can't.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct ReadingTotals {
+pub struct PrefillTotals {
     /// The tokens that were read.
     pub tokens: u64,
     /// The time that this took, in microseconds.
     pub micros: u64,
 }
 
-impl ReadingTotals {
+impl PrefillTotals {
     fn add(&mut self, tokens: u32, took: Duration) {
         self.tokens = self.tokens.saturating_add(u64::from(tokens));
         self.micros = self.micros.saturating_add(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
@@ -47,7 +47,7 @@
     prefill: QuantileEstimate,
     decode: QuantileEstimate,
     moves: Moves,
-    readings_alone: ReadingTotals,
+    readings_alone: PrefillTotals,
 }
 
 impl Default for EngineModel {
@@ -56,7 +56,7 @@
             prefill: QuantileEstimate::new(PREFILL_RATE_PRIOR, RATE_QUANTILE),
             decode: QuantileEstimate::new(DECODE_RATE_PRIOR, RATE_QUANTILE),
             moves: Moves::default(),
-            readings_alone: ReadingTotals::default(),
+            readings_alone: PrefillTotals::default(),
         }
     }
 }
@@ -90,7 +90,7 @@
     }
 
     /// What prefill engines have read that had nothing else to read.
-    pub fn readings_alone(&self) -> ReadingTotals {
+    pub fn readings_alone(&self) -> PrefillTotals {
         self.readings_alone
     }
 
--- a/crates/core/src/relay/late_readings.rs
+++ b/crates/core/src/relay/late_readings.rs
@@ -21,7 +21,7 @@
 
 /// Names a late prompt that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LateReadingId(u64);
+pub struct LatePrefillId(u64);
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
@@ -38,24 +38,24 @@
 
 /// A node's late prompts.
 #[derive(Clone, Debug, Default)]
-pub struct LateReadings {
-    waiting: BTreeMap<LateReadingId, Waiting>,
+pub struct LatePrefills {
+    waiting: BTreeMap<LatePrefillId, Waiting>,
     next: u64,
     believed: f64,
     seen_at: Option<Timestamp>,
 }
 
-impl LateReadings {
+impl LatePrefills {
     /// Notes that a late prompt is sent to be read and is expected to take so long.
-    pub fn begin(&mut self, expected: Duration, now: Timestamp) -> LateReadingId {
-        let id = LateReadingId(self.next);
+    pub fn begin(&mut self, expected: Duration, now: Timestamp) -> LatePrefillId {
+        let id = LatePrefillId(self.next);
         self.next += 1;
         self.waiting.insert(id, Waiting { since: now, expected });
         id
     }
 
     /// Notes that a late prompt was read, or was given up. One that was given up before its time shows nothing.
-    pub fn end(&mut self, id: LateReadingId, is_read: bool, now: Timestamp) {
+    pub fn end(&mut self, id: LatePrefillId, is_read: bool, now: Timestamp) {
         let Some(waiting) = self.waiting.remove(&id) else {
             return;
         };
--- a/crates/core/src/relay/open_readings.rs
+++ b/crates/core/src/relay/open_readings.rs
@@ -5,7 +5,7 @@
 
 use super::engine_tag::EngineTag;
 use super::prompt::PromptPart;
-use super::readings_message::OpenReadings;
+use super::readings_message::OpenPrefills;
 use super::urgency::Urgency;
 use crate::back_ends::EngineStage;
 use crate::time::Timestamp;
@@ -16,11 +16,11 @@
 
 /// Names one of this node's own readings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ReadingId(pub(super) u64);
+pub struct PrefillId(pub(super) u64);
 
 /// One of this node's own readings that is open.
 #[derive(Clone, Debug)]
-pub(super) struct OwnReading {
+pub(super) struct LocalPrefill {
     pub(super) engine: EngineTag,
     /// The tokens that the engine has to read, without those that it kept.
     pub(super) tokens: u32,
@@ -45,7 +45,7 @@
 /// Invariant: a peer has a share of an engine's readings exactly when the engine is in the peer's list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OpenTable {
-    own: BTreeMap<ReadingId, OwnReading>,
+    own: BTreeMap<PrefillId, LocalPrefill>,
     of_peers: HashMap<EngineTag, HashMap<Address, PeerShare>>,
     engines_of: HashMap<Address, Vec<EngineTag>>,
     /// When a reading was last heard to end at each engine: the next one began no earlier.
@@ -53,11 +53,11 @@
 }
 
 impl OpenTable {
-    pub(super) fn begin(&mut self, id: ReadingId, reading: OwnReading) {
+    pub(super) fn begin(&mut self, id: PrefillId, reading: LocalPrefill) {
         self.own.insert(id, reading);
     }
 
-    pub(super) fn end(&mut self, id: ReadingId, now: Timestamp) -> Option<OwnReading> {
+    pub(super) fn end(&mut self, id: PrefillId, now: Timestamp) -> Option<LocalPrefill> {
         let ended = self.own.remove(&id)?;
         self.note_end(ended.engine, now);
         Some(ended)
@@ -74,7 +74,7 @@
     }
 
     /// Puts what a peer tells in the place of what it told before.
-    pub(super) fn replace(&mut self, peer: Address, open: &[OpenReadings], now: Timestamp) {
+    pub(super) fn replace(&mut self, peer: Address, open: &[OpenPrefills], now: Timestamp) {
         self.forget(peer);
         for told in open {
             let began = now - Duration::from_millis(u64::from(told.age_millis));
@@ -133,13 +133,13 @@
     }
 
     /// This node's open readings by engine, those with most tokens first.
-    pub(super) fn told(&self, now: Timestamp) -> Vec<OpenReadings> {
-        let mut by_engine: BTreeMap<EngineTag, OpenReadings> = BTreeMap::new();
+    pub(super) fn told(&self, now: Timestamp) -> Vec<OpenPrefills> {
+        let mut by_engine: BTreeMap<EngineTag, OpenPrefills> = BTreeMap::new();
         for reading in self.own.values() {
             let age_millis = u16::try_from(now.since(reading.began).as_millis()).unwrap_or(u16::MAX);
             let engine = reading.engine;
             let told =
-                by_engine.entry(engine).or_insert(OpenReadings { engine, tokens: 0, late_tokens: 0, age_millis });
+                by_engine.entry(engine).or_insert(OpenPrefills { engine, tokens: 0, late_tokens: 0, age_millis });
             let counted = match reading.urgency {
                 Urgency::InTime => &mut told.tokens,
                 Urgency::Late => &mut told.late_tokens,
@@ -147,7 +147,7 @@
             *counted = counted.saturating_add(reading.tokens);
             told.age_millis = told.age_millis.max(age_millis);
         }
-        let mut told: Vec<OpenReadings> = by_engine.into_values().collect();
+        let mut told: Vec<OpenPrefills> = by_engine.into_values().collect();
         told.sort_by_key(|open| std::cmp::Reverse(open.tokens.saturating_add(open.late_tokens)));
         told
     }
--- a/crates/core/src/relay/prompt_index.rs
+++ b/crates/core/src/relay/prompt_index.rs
@@ -7,9 +7,9 @@
 use super::engine_cache::EngineCache;
 use super::engine_model::EngineModel;
 use super::engine_tag::EngineTag;
-use super::open_readings::{OpenTable, OwnReading, ReadingId};
+use super::open_readings::{LocalPrefill, OpenTable, PrefillId};
 use super::prompt::{Prompt, PromptPart};
-use super::readings_message::{FinishedReading, KeptParts, ReadingsNotice};
+use super::readings_message::{CachedParts, FinishedPrefill, PrefillNotice};
 use super::urgency::Urgency;
 use crate::back_ends::{BackEnd, EngineStage};
 use crate::time::Timestamp;
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 struct Untold {
     number: u64,
-    reading: FinishedReading,
+    reading: FinishedPrefill,
     times: u32,
 }
 
@@ -104,11 +104,11 @@
     }
 
     /// Notes that `engine` begins to read `prompt` for this node.
-    pub fn begin(&mut self, engine: &BackEnd, prompt: &Prompt, urgency: Urgency, now: Timestamp) -> ReadingId {
-        let id = ReadingId(self.next);
+    pub fn begin(&mut self, engine: &BackEnd, prompt: &Prompt, urgency: Urgency, now: Timestamp) -> PrefillId {
+        let id = PrefillId(self.next);
         self.next += 1;
         let is_idle = |stage: &EngineStage| self.backlog(&engine.id, *stage, Urgency::Late, now) <= 0.0;
-        let reading = OwnReading {
+        let reading = LocalPrefill {
             engine: (&engine.id).into(),
             tokens: prompt.tokens.saturating_sub(self.kept_tokens_of(&engine.id, prompt)),
             urgency,
@@ -122,7 +122,7 @@
     }
 
     /// Notes that one of this node's readings has ended, whole or not.
-    pub fn end(&mut self, id: ReadingId, whole: bool, now: Timestamp) {
+    pub fn end(&mut self, id: PrefillId, whole: bool, now: Timestamp) {
         let Some(reading) = self.open.end(id, now).filter(|_| whole) else {
             return;
         };
@@ -149,7 +149,7 @@
             return;
         }
         self.finished_count += 1;
-        let reading = FinishedReading { engine, shared_parts, tokens };
+        let reading = FinishedPrefill { engine, shared_parts, tokens };
         self.keep(&reading, now);
         self.untold.push_back(Untold { number: self.finished_count, reading, times: 0 });
         let excess = self.untold.len().saturating_sub(self.config.finished_maximum);
@@ -163,7 +163,7 @@
 
     /// What peers are to be told now: as much as fits, and the rest with the next notice. Open readings that do not fit
     /// are those with the fewest tokens.
-    pub fn notice(&mut self, sender: Address, sequence: u64, now: Timestamp) -> ReadingsNotice {
+    pub fn notice(&mut self, sender: Address, sequence: u64, now: Timestamp) -> PrefillNotice {
         let bytes = self.config.notice_bytes;
         let mut open = self.open.told(now);
         open.truncate((bytes as f64 * OPEN_SHARE) as usize / OPEN_BYTES);
@@ -183,11 +183,11 @@
         while self.untold.front().is_some_and(|untold| untold.times >= times) {
             self.untold.pop_front();
         }
-        ReadingsNotice { sender, sequence, open, first_finished, finished }
+        PrefillNotice { sender, sequence, open, first_finished, finished }
     }
 
     /// Takes a peer's notice in, unless a newer one of it came before; whether it was taken in.
-    pub fn receive(&mut self, notice: ReadingsNotice, now: Timestamp) -> bool {
+    pub fn receive(&mut self, notice: PrefillNotice, now: Timestamp) -> bool {
         let known = self.peers.get(&notice.sender).filter(|peer| {
             // A sender that was restarted counts anew; its last life is soon forgotten.
             now.since(peer.heard_at) < self.config.reading_maximum || notice.sequence > peer.sequence
@@ -216,10 +216,10 @@
         &'e self,
         engines: impl Iterator<Item = &'e BackEndId> + 'e,
         parts_maximum: usize,
-    ) -> impl Iterator<Item = KeptParts> + 'e {
+    ) -> impl Iterator<Item = CachedParts> + 'e {
         engines.filter_map(move |engine| {
             let cache = self.kept.get(&engine.into()).filter(|cache| !cache.is_empty())?;
-            Some(KeptParts { engine: engine.clone(), parts: cache.told_parts(parts_maximum) })
+            Some(CachedParts { engine: engine.clone(), parts: cache.told_parts(parts_maximum) })
         })
     }
 
@@ -229,7 +229,7 @@
     }
 
     /// Takes in what a peer believes that an engine keeps; parts that this node knows of stay as they are.
-    pub fn adopt_kept(&mut self, told: KeptParts, now: Timestamp) {
+    pub fn adopt_kept(&mut self, told: CachedParts, now: Timestamp) {
         self.kept.entry((&told.engine).into()).or_default().adopt(told.parts, now);
     }
 
@@ -277,7 +277,7 @@
         best.map(|(_, _, other)| other)
     }
 
-    fn keep(&mut self, finished: &FinishedReading, now: Timestamp) {
+    fn keep(&mut self, finished: &FinishedPrefill, now: Timestamp) {
         let room = self.room();
         self.kept.entry(finished.engine).or_default().use_prompt(&finished.shared_parts, finished.tokens, room, now);
     }
--- a/crates/core/src/relay/readings_message.rs
+++ b/crates/core/src/relay/readings_message.rs
@@ -2,47 +2,47 @@
 
 use speedy::{Readable, Writable};
 
-use super::ends_message::EndsNotice;
+use super::ends_message::TerminationNotice;
 use super::engine_tag::EngineTag;
 use super::prompt::PromptPart;
 use super::suspicions::UnreachableNotice;
-use crate::back_ends::{LeavingNotice, LimitNotice};
+use crate::back_ends::{DrainNotice, LimitNotice};
 use crate::world::{Address, BackEndId};
 
 /// A message between nodes about the reading of prompts.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub enum ReadingsMessage {
+pub enum PeerNotice {
     /// What the sender reads now and has just read.
-    Notice(ReadingsNotice),
+    Notice(PrefillNotice),
     /// The sender has just started and asks what engines keep.
     AskKept {
         /// Where the sender takes the answers.
         sender: Address,
     },
     /// What one engine keeps, for a node that asked.
-    Kept(KeptParts),
+    Kept(CachedParts),
     /// Back ends that the sender could not reach.
     Unreachable(UnreachableNotice),
     /// Engines that ended while they ran requests for the sender.
-    Ends(EndsNotice),
+    Ends(TerminationNotice),
     /// Back ends that said that they leave.
-    Leaving(LeavingNotice),
+    Leaving(DrainNotice),
     /// What back ends in need take.
     Limits(LimitNotice),
 }
 
 /// What a node believes that an engine keeps.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct KeptParts {
+pub struct CachedParts {
     /// The engine.
     pub engine: BackEndId,
     /// The parts.
-    pub parts: Vec<ToldPart>,
+    pub parts: Vec<AnnouncedPart>,
 }
 
 /// A part that an engine is believed to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ToldPart {
+pub struct AnnouncedPart {
     /// The part.
     pub part: PromptPart,
     /// Tokens that were brought into the engine's cache since the part was last used.
@@ -51,7 +51,7 @@
 
 /// The prompts that one engine reads now for the sender, taken together: its size does not grow with the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct OpenReadings {
+pub struct OpenPrefills {
     /// The engine.
     pub engine: EngineTag,
     /// The tokens that it has to read for prompts that can be in time, without those that it kept.
@@ -64,7 +64,7 @@
 
 /// A prompt that an engine has read, or whose KV cache it has got.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct FinishedReading {
+pub struct FinishedPrefill {
     /// The engine.
     pub engine: EngineTag,
     /// The prompt's shared parts, which the engine now keeps.
@@ -76,15 +76,15 @@
 /// What a node tells its peers about the prompts that it has read: everything that is open, so that a lost notice is
 /// made up for by the next.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ReadingsNotice {
+pub struct PrefillNotice {
     /// Where the sender takes notices; names it.
     pub sender: Address,
     /// Rises with each notice of one life of the sender.
     pub sequence: u64,
     /// The sender's readings that are open, by engine.
-    pub open: Vec<OpenReadings>,
+    pub open: Vec<OpenPrefills>,
     /// The number of the first of `finished`. Numbers rise by one with each finished reading of one life of the sender.
     pub first_finished: u64,
     /// Finished readings of the sender, one after the other.
-    pub finished: Vec<FinishedReading>,
+    pub finished: Vec<FinishedPrefill>,
 }
--- a/crates/core/src/relay/short_reading.rs
+++ b/crates/core/src/relay/short_reading.rs
@@ -19,18 +19,18 @@
 
 /// How long a node's requests with short prompts took to begin their answers lately, by where the prompt was read.
 #[derive(Clone, Copy, Debug)]
-pub struct ShortReading {
+pub struct ShortPrefill {
     apart: f64,
     there: f64,
 }
 
-impl Default for ShortReading {
+impl Default for ShortPrefill {
     fn default() -> Self {
-        ShortReading { apart: PRIOR_MILLIS.ln(), there: PRIOR_MILLIS.ln() }
+        ShortPrefill { apart: PRIOR_MILLIS.ln(), there: PRIOR_MILLIS.ln() }
     }
 }
 
-impl ShortReading {
+impl ShortPrefill {
     /// Notes that a request took `took` to begin its answer, or waited so long in vain.
     pub fn observe(&mut self, apart: bool, took: Duration) {
         let believed = if apart { &mut self.apart } else { &mut self.there };
--- a/crates/core/src/relay/telling_pace.rs
+++ b/crates/core/src/relay/telling_pace.rs
@@ -6,18 +6,18 @@
 use crate::limits::TokenBucket;
 use crate::time::Timestamp;
 
-/// Limits of a [`TellingPace`].
+/// Limits of a [`AnnouncementPace`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TellingPaceConfig {
+pub struct AnnouncementPaceConfig {
     /// Bytes a second, over all receivers.
     pub bytes_per_second: f64,
     /// The time whose bytes may be spent at once after a quiet while.
     pub burst: Duration,
 }
 
-impl Default for TellingPaceConfig {
+impl Default for AnnouncementPaceConfig {
     fn default() -> Self {
-        TellingPaceConfig { bytes_per_second: 64.0 * 1024.0, burst: Duration::from_millis(500) }
+        AnnouncementPaceConfig { bytes_per_second: 64.0 * 1024.0, burst: Duration::from_millis(500) }
     }
 }
 
@@ -25,17 +25,17 @@
 ///
 /// Invariant: in any span of time, at most its bytes, the burst and one message to every receiver are sent.
 #[derive(Clone, Copy, Debug)]
-pub struct TellingPace {
+pub struct AnnouncementPace {
     bytes: TokenBucket,
 }
 
-impl TellingPace {
+impl AnnouncementPace {
     /// A pace of which nothing is spent.
-    pub fn new(config: TellingPaceConfig, now: Timestamp) -> Self {
+    pub fn new(config: AnnouncementPaceConfig, now: Timestamp) -> Self {
         let mut bytes = TokenBucket::new(config.burst, now);
         bytes.set_rate(config.bytes_per_second, now);
         bytes.add(config.bytes_per_second * config.burst.as_secs_f64());
-        TellingPace { bytes }
+        AnnouncementPace { bytes }
     }
 
     /// The time until something may be sent; zero: now.
--- a/crates/core/src/replication/configuration_news.rs
+++ b/crates/core/src/replication/configuration_news.rs
@@ -18,7 +18,7 @@
 
 /// Why a node can't follow what it is told.
 #[derive(Clone, Copy, Debug, displaydoc::Display, PartialEq, Eq, thiserror::Error)]
-pub enum UnusableNews {
+pub enum InvalidUpdate {
     /// the changes are of another configuration than the one in force
     AnotherBase,
     /// the changes lead to another configuration than they were made for
@@ -28,22 +28,22 @@
 /// A configuration, or the way to it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[allow(clippy::large_enum_variant, reason = "there is one at a time")]
-pub enum ConfigurationNews {
+pub enum ConfigurationUpdate {
     /// All of it.
     Whole(TrafficConfiguration),
     /// What is new in it.
     Changes(ConfigurationChanges),
 }
 
-impl ConfigurationNews {
+impl ConfigurationUpdate {
     /// The configuration that follows on `base`, the one in force.
     ///
     /// # Errors
     /// When these are changes of another configuration.
-    pub fn apply(self, base: Option<&TrafficConfiguration>) -> Result<TrafficConfiguration, UnusableNews> {
+    pub fn apply(self, base: Option<&TrafficConfiguration>) -> Result<TrafficConfiguration, InvalidUpdate> {
         match self {
-            ConfigurationNews::Whole(configuration) => Ok(configuration),
-            ConfigurationNews::Changes(changes) => changes.apply(base.ok_or(UnusableNews::AnotherBase)?),
+            ConfigurationUpdate::Whole(configuration) => Ok(configuration),
+            ConfigurationUpdate::Changes(changes) => changes.apply(base.ok_or(InvalidUpdate::AnotherBase)?),
         }
     }
 }
@@ -76,20 +76,20 @@
         })
     }
 
-    fn apply(self, base: &TrafficConfiguration) -> Result<TrafficConfiguration, UnusableNews> {
+    fn apply(self, base: &TrafficConfiguration) -> Result<TrafficConfiguration, InvalidUpdate> {
         if self.base != base.version {
-            return Err(UnusableNews::AnotherBase);
+            return Err(InvalidUpdate::AnotherBase);
         }
         let base_tenants = base.tenants.as_deref().unwrap_or_default();
-        let tenants = self.tenants.map(|tenants| tenants.apply(base_tenants).ok_or(UnusableNews::AnotherBase));
+        let tenants = self.tenants.map(|tenants| tenants.apply(base_tenants).ok_or(InvalidUpdate::AnotherBase));
         let result = TrafficConfiguration {
             version: self.version,
-            routes: self.routes.apply(&base.routes).ok_or(UnusableNews::AnotherBase)?,
+            routes: self.routes.apply(&base.routes).ok_or(InvalidUpdate::AnotherBase)?,
             services: self.services,
             limits: self.limits,
             tenants: tenants.transpose()?,
         };
-        if fingerprint(&result) == Some(self.fingerprint) { Ok(result) } else { Err(UnusableNews::AnotherResult) }
+        if fingerprint(&result) == Some(self.fingerprint) { Ok(result) } else { Err(InvalidUpdate::AnotherResult) }
     }
 }
 
@@ -98,9 +98,9 @@
     Some(xxhash_rust::xxh3::xxh3_64(&bytes))
 }
 
-/// [`ConfigurationNews`] as it is sent: packed once, however many ask for it.
+/// [`ConfigurationUpdate`] as it is sent: packed once, however many ask for it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct PackedNews {
+pub struct PackedUpdate {
     /// The version that it leads to.
     pub version: ConfigurationNumber,
     /// The bytes.
@@ -116,12 +116,12 @@
 #[derive(Clone, Debug)]
 struct HistoryStep {
     base: ConfigurationNumber,
-    news: PackedNews,
+    news: PackedUpdate,
 }
 
 impl ConfigurationHistory {
     /// Keeps the step from `base` to where `news` leads.
-    pub fn push(&mut self, base: ConfigurationNumber, news: PackedNews) {
+    pub fn push(&mut self, base: ConfigurationNumber, news: PackedUpdate) {
         if self.steps.back().is_some_and(|last| last.news.version != base) {
             self.steps.clear();
         }
@@ -132,7 +132,7 @@
     }
 
     /// The steps that lead on from `version`; `None` when they aren't kept.
-    pub fn since(&self, version: ConfigurationNumber) -> Option<Vec<PackedNews>> {
+    pub fn since(&self, version: ConfigurationNumber) -> Option<Vec<PackedUpdate>> {
         let first = self.steps.iter().position(|step| step.base == version)?;
         Some(self.steps.range(first..).map(|step| step.news.clone()).collect())
     }
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -4,9 +4,9 @@
 
 use speedy::{Readable, Writable};
 
-use super::configuration_news::PackedNews;
+use super::configuration_news::PackedUpdate;
 use crate::authority::Term;
-use crate::back_ends::{DirectoryNews, EngineStage};
+use crate::back_ends::{DirectoryUpdate, EngineStage};
 use crate::duties::usage::UsageCountsMessage;
 use crate::routing::ConfigurationNumber;
 use crate::stages::DemandReport;
@@ -83,9 +83,9 @@
     /// A position of the store at which that configuration was the newest; `None`: not known.
     pub newest_at: Option<Position>,
     /// What leads to it, in order, where the asker wanted it.
-    pub configuration: Vec<PackedNews>,
+    pub configuration: Vec<PackedUpdate>,
     /// What leads to a newer directory.
-    pub directory: Option<DirectoryNews>,
+    pub directory: Option<DirectoryUpdate>,
     /// How long ago the store had confirmed what the sender has, when it made the answer.
     pub ages: KnowledgeAges,
     /// How long the sender had waited for news when it made the answer, in milliseconds.
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -7,7 +7,9 @@
 mod peer_table;
 mod readers;
 
-pub use configuration_news::{ConfigurationChanges, ConfigurationHistory, ConfigurationNews, PackedNews, UnusableNews};
+pub use configuration_news::{
+    ConfigurationChanges, ConfigurationHistory, ConfigurationUpdate, InvalidUpdate, PackedUpdate,
+};
 pub use list_changes::{ListChanges, ListStep};
 pub use message::{Digest, KnowledgeAges, PeerAddresses, PeerMessage, Pull, PullAnswer, StageNotice};
 pub use peer_table::{PeerTable, PeerTableConfig};
--- a/crates/core/src/stages/demand.rs
+++ b/crates/core/src/stages/demand.rs
@@ -10,7 +10,7 @@
 use speedy::{Readable, Writable};
 
 use super::policy::ServiceLoad;
-use crate::relay::ReadingTotals;
+use crate::relay::PrefillTotals;
 use crate::time::{Timestamp, whole_millis};
 use crate::world::{Address, ServiceName};
 
@@ -74,7 +74,7 @@
     /// What it has counted in this life.
     pub services: Vec<(ServiceName, ServiceDemand)>,
     /// What it has seen prefill engines read that had nothing else to read.
-    pub readings_alone: ReadingTotals,
+    pub readings_alone: PrefillTotals,
 }
 
 /// Limits of a [`DemandTable`].
@@ -99,7 +99,7 @@
     /// The life before, of which a report may still be on its way.
     former_life: Option<u64>,
     services: BTreeMap<ServiceName, ServiceDemand>,
-    readings_alone: ReadingTotals,
+    readings_alone: PrefillTotals,
     heard_at: Timestamp,
 }
 
--- a/crates/core/tests/back_end_limits.rs
+++ b/crates/core/tests/back_end_limits.rs
@@ -11,9 +11,9 @@
 
 use arbtest::arbitrary::{self, Unstructured};
 use havengate_core::back_ends::{
-    BackEndLimits, HeardLimit, LIFT_AFTER, LIMIT_FORGOTTEN, LimitNotice, RequestRate, SharingNodes, ToldLimit,
+    AnnouncedLimit, BackEndLimits, LIFT_AFTER, LIMIT_FORGOTTEN, LimitChange, LimitNotice, RequestRate, SharingNodes,
 };
-use havengate_core::relay::ReadingsMessage;
+use havengate_core::relay::PeerNotice;
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, BackEndId, BackEndName, StartMoment};
 use speedy::Writable;
@@ -163,7 +163,7 @@
             }
             Event::Hear { node, thousandths, age_millis } => {
                 let limit = thousandths.map(|thousandths| rate(f64::from(thousandths) / 1e3));
-                let told = ToldLimit { back_end: self.id.clone(), limit, age_millis };
+                let told = AnnouncedLimit { back_end: self.id.clone(), limit, age_millis };
                 let notice = LimitNotice { sender: address(0), limits: vec![told] };
                 self.nodes[node].receive(notice, now);
             }
@@ -185,7 +185,7 @@
         }
     }
 
-    fn send(&mut self, told: &[ToldLimit], peer: usize, now: Timestamp) {
+    fn send(&mut self, told: &[AnnouncedLimit], peer: usize, now: Timestamp) {
         for told in told {
             if self.random.f64() >= self.loss {
                 let thousandths = told.limit.map(|limit| (limit.as_per_second() * 1e3) as u32);
@@ -271,9 +271,9 @@
 fn only_an_answer_to_a_later_request_ends_a_limit() {
     let id = BackEndId::from("in-need");
     let mut limits = BackEndLimits::default();
-    assert_eq!(limits.name(&id, rate(2.0), START), Some(HeardLimit { limit: rate(2.0), begins: true }));
+    assert_eq!(limits.name(&id, rate(2.0), START), Some(LimitChange { limit: rate(2.0), begins: true }));
     assert_eq!(limits.name(&id, rate(2.0), START), None);
-    assert_eq!(limits.name(&id, rate(3.0), START), Some(HeardLimit { limit: rate(3.0), begins: false }));
+    assert_eq!(limits.name(&id, rate(3.0), START), Some(LimitChange { limit: rate(3.0), begins: false }));
     assert!(!limits.name_none(&id, START - Duration::from_millis(1)));
     assert!(!limits.name_none(&id, after(LIFT_AFTER) - Duration::from_millis(1)));
     assert!(limits.name_none(&id, after(LIFT_AFTER)));
@@ -308,11 +308,11 @@
         order.push(order[0]);
         for word in order {
             let age_millis = now.since(word.said_at).as_millis() as u32;
-            let told = ToldLimit { back_end: id.clone(), limit: word.limit, age_millis };
+            let told = AnnouncedLimit { back_end: id.clone(), limit: word.limit, age_millis };
             limits.receive(LimitNotice { sender: address(1), limits: vec![told] }, now);
         }
         let told = limits.told([&id], now);
-        assert_eq!(told, [ToldLimit { back_end: id.clone(), limit: last.limit, age_millis: 10 }]);
+        assert_eq!(told, [AnnouncedLimit { back_end: id.clone(), limit: last.limit, age_millis: 10 }]);
     }
     Ok(())
 }
@@ -333,7 +333,7 @@
     }
     let some = limits.some(&mut fastrand::Rng::with_seed(1), after(Duration::from_secs(1)));
     assert_eq!(some.len(), LimitNotice::LIMITS_MAXIMUM);
-    let notice = ReadingsMessage::Limits(LimitNotice { sender: address(1), limits: some });
+    let notice = PeerNotice::Limits(LimitNotice { sender: address(1), limits: some });
     let bytes = notice.write_to_vec().expect("it can be written");
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
 }
@@ -342,7 +342,7 @@
 #[test]
 fn news_that_are_too_old_or_too_many_are_not_taken_in() {
     let mut limits = BackEndLimits::default();
-    let told = |number: u64, age_millis| ToldLimit {
+    let told = |number: u64, age_millis| AnnouncedLimit {
         back_end: BackEndId::of_life(BackEndName::new("many"), Some(StartMoment(number))),
         limit: Some(rate(1.0)),
         age_millis,
--- a/crates/core/tests/back_end_lives.rs
+++ b/crates/core/tests/back_end_lives.rs
@@ -10,8 +10,8 @@
 
 use havengate_core::authority::Term;
 use havengate_core::back_ends::{
-    BackEnd, BackEndState, Directory, DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryNews, EngineStage,
-    Usability,
+    BackEnd, BackEndState, Directory, DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate,
+    EngineStage, Usability,
 };
 use havengate_core::duties::usage::{
     UsageConfig, UsageCountsMessage, UsageReports, UsageStep, UsageTable, WindowNumber,
@@ -124,7 +124,7 @@
     let mut far_behind = directory_of(life(100));
     assert!(reader.apply(spoiled(11), START));
     assert_eq!(reader.entries().count(), 0);
-    let Some(DirectoryNews::Changes(changes)) = reader.news_since(Position::from(Revision(10))) else {
+    let Some(DirectoryUpdate::Changes(changes)) = reader.news_since(Position::from(Revision(10))) else {
         panic!("the changes are known");
     };
     assert!(fed.apply(changes, START));
--- a/crates/core/tests/back_end_notices.rs
+++ b/crates/core/tests/back_end_notices.rs
@@ -9,10 +9,10 @@
 use arbtest::arbitrary::{self, Unstructured};
 use havengate_core::back_ends::{
     BackEnd, BackEndNotice, BackEndNotices, BackEndState, Directory, DirectoryChange, DirectoryChanges,
-    DirectoryListing, HeardNotice, LAST_RESORT, LeavingNotice, REST_MAXIMUM, RequestRate, ToldLeaving, Unwelcome,
-    Usability,
+    DirectoryListing, DrainNotice, DrainingBackEnd, Ineligibility, LAST_RESORT, NoticeEffect, REST_MAXIMUM,
+    RequestRate, Usability,
 };
-use havengate_core::relay::ReadingsMessage;
+use havengate_core::relay::PeerNotice;
 use havengate_core::store::{Position, Revision};
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, BackEndId, BackEndName, StartMoment};
@@ -47,12 +47,12 @@
     let stays = back_end(1, None);
     let mut directory = directory_of(std::slice::from_ref(&stays));
     let mut notices = BackEndNotices::default();
-    assert_eq!(notices.note(&stays.id, LEAVES, START), HeardNotice { leaves: true, ..HeardNotice::default() });
+    assert_eq!(notices.note(&stays.id, LEAVES, START), NoticeEffect { leaves: true, ..NoticeEffect::default() });
     assert_eq!(usability(&notices, &directory, &stays.id, START), Some(Usability::LastResort));
     let end = START + LAST_RESORT;
     assert_eq!(usability(&notices, &directory, &stays.id, end), Some(Usability::Unusable));
     // It says so again, its entry lapses with the store and comes back as it was: nothing of this begins a new moment.
-    assert_eq!(notices.note(&stays.id, LEAVES, end), HeardNotice::default());
+    assert_eq!(notices.note(&stays.id, LEAVES, end), NoticeEffect::default());
     let name = stays.id.name().clone();
     for (revision, change) in [(2, DirectoryChange::Gone(name)), (3, DirectoryChange::Put(stays.clone()))] {
         directory.apply(DirectoryChanges { position: Position::from(Revision(revision)), changes: vec![change] }, end);
@@ -101,11 +101,19 @@
     let mut notices = BackEndNotices::default();
     let limit = RequestRate::per_second(1.0);
     notices.note(&id, BackEndNotice { limit, ..BackEndNotice::default() }, START);
-    assert_eq!(notices.note_call_if_welcome(&id, START), Some(Unwelcome::AtLimit), "it has just been sent something");
+    assert_eq!(
+        notices.note_call_if_welcome(&id, START),
+        Some(Ineligibility::AtLimit),
+        "it has just been sent something"
+    );
     assert_eq!(notices.note_call_if_welcome(&id, after(1_000)), None);
-    assert_eq!(notices.note_call_if_welcome(&id, after(1_500)), Some(Unwelcome::AtLimit));
-    assert_eq!(notices.note_call(&id, after(1_999)), Some(Unwelcome::AtLimit), "it is made all the same, and counts");
-    assert_eq!(notices.unwelcome(&id, after(2_500)), Some(Unwelcome::AtLimit));
+    assert_eq!(notices.note_call_if_welcome(&id, after(1_500)), Some(Ineligibility::AtLimit));
+    assert_eq!(
+        notices.note_call(&id, after(1_999)),
+        Some(Ineligibility::AtLimit),
+        "it is made all the same, and counts"
+    );
+    assert_eq!(notices.unwelcome(&id, after(2_500)), Some(Ineligibility::AtLimit));
     assert_eq!(notices.unwelcome(&id, after(2_999)), None);
 }
 
@@ -145,7 +153,7 @@
         notices.note(&life(number), LEAVES, START);
     }
     let says = |number| notices.unwelcome(&life(number), START + LAST_RESORT);
-    assert_eq!((says(0), says(two_fleets - of_the_design)), (None, Some(Unwelcome::Leaves)));
+    assert_eq!((says(0), says(two_fleets - of_the_design)), (None, Some(Ineligibility::Leaves)));
 }
 
 /// What the back end said, as a list; the simplest thing that could be kept.
@@ -210,9 +218,9 @@
     }
 }
 
-fn notice(back_ends: Vec<ToldLeaving>) -> LeavingNotice {
+fn notice(back_ends: Vec<DrainingBackEnd>) -> DrainNotice {
     let sender = Address(std::net::SocketAddr::from(([10, 0, 0, 9], 7_000)));
-    LeavingNotice { sender, back_ends }
+    DrainNotice { sender, back_ends }
 }
 
 #[test]
@@ -222,7 +230,7 @@
     let (mut sender, mut receiver) = (BackEndNotices::default(), BackEndNotices::default());
     sender.note(&leaving.id, LEAVES, START);
     let told = sender.told([&leaving.id, &back_end(2, None).id], after(400));
-    assert_eq!(told, [ToldLeaving { back_end: leaving.id.clone(), age_millis: 400 }], "the second one stays");
+    assert_eq!(told, [DrainingBackEnd { back_end: leaving.id.clone(), age_millis: 400 }], "the second one stays");
     // It was 100 ms on its way, and this node heard of it itself meanwhile.
     receiver.note(&leaving.id, LEAVES, after(450));
     assert_eq!(receiver.receive(&notice(told.clone()), after(500)), []);
@@ -242,7 +250,7 @@
         notices.note(&id(number), LEAVES, after(number));
     });
     let newest = notices.newest(after(20));
-    assert_eq!((newest.len(), &newest[0].back_end), (LeavingNotice::BACK_ENDS_MAXIMUM, &id(19)));
-    let bytes = ReadingsMessage::Leaving(notice(newest)).write_to_vec().expect("it can be written");
+    assert_eq!((newest.len(), &newest[0].back_end), (DrainNotice::BACK_ENDS_MAXIMUM, &id(19)));
+    let bytes = PeerNotice::Leaving(notice(newest)).write_to_vec().expect("it can be written");
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
 }
--- a/crates/core/tests/back_ends.rs
+++ b/crates/core/tests/back_ends.rs
@@ -8,7 +8,7 @@
 
 use havengate_core::back_ends::{
     BackEnd, BackEndHealth, BackEndState, Directory, DirectoryChange, DirectoryChanges, DirectoryListing,
-    DirectoryNews, HealthLimits, LAST_RESORT, Usability,
+    DirectoryUpdate, HealthLimits, LAST_RESORT, Usability,
 };
 use havengate_core::store::{Position, Revision};
 use havengate_core::time::Timestamp;
@@ -177,10 +177,10 @@
 }
 
 /// Directories as readers of the store and those that they feed hold them: one is led to the other's state by its news.
-fn led_by(news: Option<DirectoryNews>, replica: &mut Directory) {
+fn led_by(news: Option<DirectoryUpdate>, replica: &mut Directory) {
     match news {
-        Some(DirectoryNews::Changes(changes)) => drop(replica.apply(changes, START)),
-        Some(DirectoryNews::Listing(listing)) => drop(replica.adopt(listing, START)),
+        Some(DirectoryUpdate::Changes(changes)) => drop(replica.apply(changes, START)),
+        Some(DirectoryUpdate::Listing(listing)) => drop(replica.adopt(listing, START)),
         None => {}
     }
 }
@@ -193,7 +193,7 @@
     directory.apply(changes(12, Vec::new()), START);
     directory.apply(changes(13, vec![DirectoryChange::Gone(back_end(1, None).id.name().clone())]), START);
     let news = directory.news_since(replica.position());
-    assert!(matches!(&news, Some(DirectoryNews::Changes(news)) if news.changes.len() == 2), "{news:?}");
+    assert!(matches!(&news, Some(DirectoryUpdate::Changes(news)) if news.changes.len() == 2), "{news:?}");
     led_by(news, &mut replica);
     assert_eq!(replica.listing(), directory.listing());
 }
@@ -203,7 +203,7 @@
     let mut directory = directory_of(&[1]);
     directory.apply(changes(12, Vec::new()), START);
     assert_eq!(directory.changed_at(), Position::from(Revision(10)), "a confirmation is no change");
-    let confirmed = Some(DirectoryNews::Changes(changes(12, Vec::new())));
+    let confirmed = Some(DirectoryUpdate::Changes(changes(12, Vec::new())));
     assert_eq!(directory.news_since(Position::from(Revision(11))), confirmed);
     assert_eq!(
         directory.news_since(Position::from(Revision(12))),
@@ -264,11 +264,11 @@
         directory.apply(changes(revision, vec![change]), START);
     }
     let news = directory.news_since(replica.position());
-    assert!(matches!(news, Some(DirectoryNews::Listing(_))));
+    assert!(matches!(news, Some(DirectoryUpdate::Listing(_))));
     led_by(news, &mut replica);
     assert_eq!(replica.listing(), directory.listing());
     assert!(
-        matches!(directory.news_since(Position::from(Revision(9))), Some(DirectoryNews::Listing(_))),
+        matches!(directory.news_since(Position::from(Revision(9))), Some(DirectoryUpdate::Listing(_))),
         "older than all that is known"
     );
 }
--- a/crates/core/tests/back_ends_histories.rs
+++ b/crates/core/tests/back_ends_histories.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use havengate_core::back_ends::{
-    BackEnd, BackEndState, Directory, DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryNews, Usability,
+    BackEnd, BackEndState, Directory, DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate, Usability,
 };
 use havengate_core::store::{Position, Revision, StoreEra};
 use havengate_core::time::Timestamp;
@@ -221,8 +221,8 @@
                 let news = self.replicas[reader].directory.news_since(position);
                 let replica = &mut self.replicas[index];
                 match news {
-                    Some(DirectoryNews::Changes(changes)) => drop(replica.apply(changes, now)),
-                    Some(DirectoryNews::Listing(listing)) => drop(replica.directory.adopt(listing, now)),
+                    Some(DirectoryUpdate::Changes(changes)) => drop(replica.apply(changes, now)),
+                    Some(DirectoryUpdate::Listing(listing)) => drop(replica.directory.adopt(listing, now)),
                     None => {}
                 }
             }
--- a/crates/core/tests/back_ends_of_an_older_copy.rs
+++ b/crates/core/tests/back_ends_of_an_older_copy.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use havengate_core::back_ends::{
-    BackEnd, BackEndState, DOUBTED, Directory, DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryNews,
+    BackEnd, BackEndState, DOUBTED, Directory, DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate,
     LAST_RESORT, Usability, WRITTEN_AGAIN,
 };
 use havengate_core::store::{Position, Revision, StoreEra};
@@ -136,7 +136,7 @@
     let mut other = Directory::new();
     assert!(other.adopt(listing(2, 300, vec![ready(1), ready(2)]), BACK));
     directory.apply(changes(2, 302, vec![DirectoryChange::Put(draining(1))]), BACK);
-    let Some(DirectoryNews::Changes(news)) = directory.news_since(other.position()) else {
+    let Some(DirectoryUpdate::Changes(news)) = directory.news_since(other.position()) else {
         panic!("it stands in the same era");
     };
     assert!(other.apply(news, BACK));
@@ -162,7 +162,7 @@
     let mut directory = directory_of(&[1, 2]);
     assert!(directory.adopt(listing(2, 300, vec![ready(1)]), BACK));
     for former in [position(1, 200), position(1, 300), position(1, 900)] {
-        assert_eq!(directory.news_since(former), Some(DirectoryNews::Listing(directory.listing())));
+        assert_eq!(directory.news_since(former), Some(DirectoryUpdate::Listing(directory.listing())));
     }
     assert_eq!(directory.news_since(position(3, 1)), None);
 }
@@ -173,10 +173,10 @@
     directory.apply(changes(1, 510, vec![DirectoryChange::Put(ready(2))]), START);
     let put = DirectoryChange::Put(ready(2));
     let told = DirectoryChanges { position: position(0, 510), changes: vec![put] };
-    assert_eq!(directory.news_since(position(0, 500)), Some(DirectoryNews::Changes(told)));
+    assert_eq!(directory.news_since(position(0, 500)), Some(DirectoryUpdate::Changes(told)));
     assert!(directory.adopt(listing(2, 300, vec![ready(1)]), BACK));
     directory.apply(changes(2, 310, vec![DirectoryChange::Put(ready(2))]), BACK);
-    let whole = DirectoryNews::Listing(listing(0, 310, vec![ready(1), ready(2)]));
+    let whole = DirectoryUpdate::Listing(listing(0, 310, vec![ready(1), ready(2)]));
     assert_eq!(directory.news_since(position(0, 305)), Some(whole));
     assert_eq!(directory.news_since(position(0, 311)), None);
 }
--- a/crates/core/tests/duties_usage.rs
+++ b/crates/core/tests/duties_usage.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use havengate_core::duties::usage::{
-    LedgerWrite, UsageConfig, UsageCounts, UsageCountsMessage, UsageLedger, UsageReport, UsageReports, UsageStep,
-    UsageTable, UsageTelling, WindowNumber,
+    LedgerWrite, UsageAnnouncements, UsageConfig, UsageCounts, UsageCountsMessage, UsageLedger, UsageReport,
+    UsageReports, UsageStep, UsageTable, WindowNumber,
 };
 use havengate_core::store::{ObjectVersion, Revision};
 use havengate_core::world::{Address, TenantName};
@@ -81,10 +81,10 @@
 
 #[test]
 fn a_candidate_is_told_what_changed_and_the_last_counts_twice_and_a_new_one_all() {
-    let (mut counts, mut telling) = (UsageCounts::default(), UsageTelling::default());
+    let (mut counts, mut telling) = (UsageCounts::default(), UsageAnnouncements::default());
     let window = WindowNumber(FIRST);
     counts.record(window, &"press".into());
-    let due = |telling: &mut UsageTelling, counts: &UsageCounts, candidate, seconds| {
+    let due = |telling: &mut UsageAnnouncements, counts: &UsageCounts, candidate, seconds| {
         telling.due(address(candidate), counts, &CONFIG, at(seconds))
     };
     assert_eq!(due(&mut telling, &counts, 1, 1.0), [window]);
@@ -162,7 +162,7 @@
     clock: f64,
     down_until: f64,
     counts: UsageCounts,
-    telling: UsageTelling,
+    telling: UsageAnnouncements,
     table: UsageTable,
     reports: UsageReports,
 }
@@ -175,7 +175,7 @@
             clock: (random.f64() - 0.5) * 0.1 * f64::from(u8::from(trouble > 0.0)),
             down_until: 0.0,
             counts: UsageCounts::default(),
-            telling: UsageTelling::default(),
+            telling: UsageAnnouncements::default(),
             table: UsageTable::default(),
             reports: UsageReports::default(),
         }
--- a/crates/core/tests/relay_engine_ends.rs
+++ b/crates/core/tests/relay_engine_ends.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use havengate_core::relay::{
-    BlameRules, Blamed, ContentId, EndedRun, EndsNotice, EngineEnd, EngineEnds, EngineEndsConfig, EngineTag,
-    ServedContent, ToldEnd, ToldRun, blame,
+    Attribution, AttributionRules, ContentId, EngineTag, EngineTermination, EngineTerminations,
+    EngineTerminationsConfig, ReportedRun, ReportedTermination, ServedContent, TerminatedRun, TerminationNotice, blame,
 };
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, BackEndId};
@@ -29,30 +29,30 @@
     Address(std::net::SocketAddr::from(([10, 0, 0, number], 8_000)))
 }
 
-fn config() -> EngineEndsConfig {
-    EngineEndsConfig::default()
+fn config() -> EngineTerminationsConfig {
+    EngineTerminationsConfig::default()
 }
 
 /// How long each request ran before its engine ended.
 const RAN: Duration = Duration::from_millis(60);
 
-fn ended(sender: u8, engine: EngineTag, age_millis: u64, contents: &[ContentId]) -> EndsNotice {
-    let runs = contents.iter().map(|content| ToldRun { content: *content, ran_micros: RAN.as_micros() as u32 });
-    let end = ToldEnd { engine, age_micros: age_millis * 1_000, runs: runs.collect() };
-    EndsNotice { sender: node(sender), ends: vec![end], served: Vec::new() }
+fn ended(sender: u8, engine: EngineTag, age_millis: u64, contents: &[ContentId]) -> TerminationNotice {
+    let runs = contents.iter().map(|content| ReportedRun { content: *content, ran_micros: RAN.as_micros() as u32 });
+    let end = ReportedTermination { engine, age_micros: age_millis * 1_000, runs: runs.collect() };
+    TerminationNotice { sender: node(sender), ends: vec![end], served: Vec::new() }
 }
 
-fn runs(contents: &[ContentId], at: Timestamp) -> Vec<EndedRun> {
-    contents.iter().map(|content| EndedRun { content: *content, sent_at: at - RAN }).collect()
+fn runs(contents: &[ContentId], at: Timestamp) -> Vec<TerminatedRun> {
+    contents.iter().map(|content| TerminatedRun { content: *content, sent_at: at - RAN }).collect()
 }
 
 /// Ends an engine that ran `contents` for this node.
-fn end(ends: &mut EngineEnds, engine: EngineTag, contents: &[ContentId], at: Timestamp) -> Vec<Blamed> {
+fn end(ends: &mut EngineTerminations, engine: EngineTag, contents: &[ContentId], at: Timestamp) -> Vec<Attribution> {
     ends.note_ended(engine, &runs(contents, at), at)
 }
 
 /// Ends one engine after the other, a second apart, each while it runs what `ran` says of it. Returns the time of the last.
-fn end_in_turn(ends: &mut EngineEnds, ran: &[&[&str]]) -> Timestamp {
+fn end_in_turn(ends: &mut EngineTerminations, ran: &[&[&str]]) -> Timestamp {
     for (number, names) in ran.iter().enumerate() {
         let contents: Vec<ContentId> = names.iter().map(|name| content(name)).collect();
         end(ends, engine(number), &contents, NOW + SECOND * number as u32);
@@ -60,7 +60,7 @@
     NOW + SECOND * (ran.len() as u32 - 1)
 }
 
-fn is_blocked(ends: &EngineEnds, name: &str, now: Timestamp) -> bool {
+fn is_blocked(ends: &EngineTerminations, name: &str, now: Timestamp) -> bool {
     ends.blocked_until(content(name), now).is_some()
 }
 
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_request_under_which_three_engines_ended_is_blocked() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let second = end_in_turn(&mut ends, &[&["culprit"], &["culprit"]]);
     assert!(!is_blocked(&ends, "culprit", second));
     let blamed = end(&mut ends, engine(2), &[content("culprit")], second + SECOND);
@@ -84,7 +84,7 @@
 
 #[test]
 fn one_engine_that_several_nodes_tell_of_counts_once() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     for sender in 1..=5 {
         ends.receive(&ended(sender, engine(0), 10, &[content("culprit")]), NOW);
     }
@@ -93,7 +93,7 @@
 
 #[test]
 fn ends_that_other_nodes_saw_count_like_own_ones() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     end(&mut ends, engine(0), &[content("culprit")], NOW);
     ends.receive(&ended(1, engine(1), 500, &[content("culprit")]), NOW + SECOND);
     let blamed = ends.receive(&ended(2, engine(2), 100, &[content("culprit")]), NOW + SECOND);
@@ -103,7 +103,7 @@
 
 #[test]
 fn what_ran_beside_the_culprit_is_not_blocked() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(
         &mut ends,
         &[&["culprit", "beside"], &["culprit", "beside"], &["culprit", "beside", "late"], &["culprit", "late"]],
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_bystander_whose_report_comes_first_is_cleared_by_the_culprits() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     for number in 0..3 {
         end(&mut ends, engine(number), &[content("beside")], NOW + SECOND * number as u32);
     }
@@ -130,7 +130,7 @@
 
 #[test]
 fn of_two_that_always_ran_together_neither_is_blocked_before_the_next_end_tells() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["one", "other"][..]; 3]);
     assert!(!is_blocked(&ends, "one", last) && !is_blocked(&ends, "other", last));
     end(&mut ends, engine(3), &[content("other")], last + SECOND);
@@ -142,7 +142,7 @@
 /// and nothing was weighed anew before the next engine had ended. The evidence: this test, on the code as it was.
 #[test]
 fn a_whole_answer_of_one_of_two_that_always_ran_together_leaves_the_other_one_to_blame() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["culprit", "beside"][..]; 3]);
     assert!(!is_blocked(&ends, "culprit", last));
     let blamed = ends.note_served(content("beside"), last).expect("it was a suspect");
@@ -153,14 +153,14 @@
 
 #[test]
 fn two_that_run_together_for_ever_are_both_blocked_in_the_end() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["one", "other"][..]; 6]);
     assert!(is_blocked(&ends, "one", last) && is_blocked(&ends, "other", last));
 }
 
 #[test]
 fn of_two_culprits_each_is_blocked_by_the_ends_that_the_other_does_not_explain() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["one"], &["other"], &["one", "other"], &["one"], &["other"], &["other"]]);
     assert!(is_blocked(&ends, "other", last) && !is_blocked(&ends, "one", last));
     end(&mut ends, engine(6), &[content("one")], last + SECOND);
@@ -169,7 +169,7 @@
 
 #[test]
 fn of_two_with_equally_many_ends_neither_is_blocked_before_the_next_end_tells() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["culprit", "beside"], &["culprit"], &["culprit", "beside"], &["beside"]]);
     assert!(!is_blocked(&ends, "culprit", last) && !is_blocked(&ends, "beside", last));
     end(&mut ends, engine(4), &[content("culprit")], last + SECOND);
@@ -178,7 +178,7 @@
 
 #[test]
 fn engines_that_fall_together_count_once() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     for number in 0..40 {
         let noticed = NOW + Duration::from_millis(number % 30);
         end(&mut ends, engine(number as usize), &[content("asked by many")], noticed);
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_whole_answer_clears_a_request_at_all_nodes() {
-    let (mut here, mut there) = (EngineEnds::default(), EngineEnds::default());
+    let (mut here, mut there) = (EngineTerminations::default(), EngineTerminations::default());
     for ends in [&mut here, &mut there] {
         end_in_turn(ends, &[&["asked by many"], &["asked by many"]]);
     }
@@ -208,7 +208,7 @@
 
 #[test]
 fn a_peer_that_goes_on_telling_of_what_was_cleared_convinces_nobody_and_is_told() {
-    let (mut here, mut there) = (EngineEnds::default(), EngineEnds::default());
+    let (mut here, mut there) = (EngineTerminations::default(), EngineTerminations::default());
     let last = end_in_turn(&mut here, &[&["popular"][..]; 2]);
     end_in_turn(&mut there, &[&["popular"][..]; 3]);
     let now = last + 2 * SECOND;
@@ -223,17 +223,17 @@
 
 #[test]
 fn an_answer_does_not_clear_ends_that_came_after_it() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["culprit"][..]; 3]);
     let served = ServedContent { content: content("culprit"), age_micros: 1_500_000 };
-    ends.receive(&EndsNotice { sender: node(1), ends: Vec::new(), served: vec![served] }, last);
+    ends.receive(&TerminationNotice { sender: node(1), ends: Vec::new(), served: vec![served] }, last);
     assert!(ends.is_suspect(content("culprit")));
     assert!(!is_blocked(&ends, "culprit", last), "one end is left");
 }
 
 #[test]
 fn a_block_lapses_and_doubles_with_the_next_end() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["culprit"][..]; 3]);
     let first = config().first_block;
     assert_eq!(ends.blocked_until(content("culprit"), last), Some(last + first));
@@ -253,19 +253,19 @@
 
 #[test]
 fn a_node_that_has_just_started_learns_what_is_blocked() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["culprit", "beside"], &["culprit"], &["culprit", "beside"]]);
     assert!(ends.known_blame(node(1), NOW).is_some());
-    let mut started = EngineEnds::default();
+    let mut started = EngineTerminations::default();
     started.receive(&ends.known_blame(node(1), last).expect("something is blamed"), last);
     assert_eq!(started.blocked_until(content("culprit"), last), ends.blocked_until(content("culprit"), last));
     assert!(!started.is_suspect(content("beside")));
-    assert!(EngineEnds::default().known_blame(node(1), NOW).is_none());
+    assert!(EngineTerminations::default().known_blame(node(1), NOW).is_none());
 }
 
 #[test]
 fn what_is_told_fits_a_datagram_and_reaches_peers_twice() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     for number in 0..100 {
         end(&mut ends, engine(number), &[content(&format!("content-{number}"))], NOW);
     }
@@ -283,8 +283,8 @@
 #[test]
 fn what_is_kept_is_bounded_whatever_happens() {
     arbtest::arbtest(|input| {
-        let config = EngineEndsConfig { ends_maximum: 20, contents_maximum: 5, untold_maximum: 30, ..config() };
-        let mut ends = EngineEnds::new(config);
+        let config = EngineTerminationsConfig { ends_maximum: 20, contents_maximum: 5, untold_maximum: 30, ..config() };
+        let mut ends = EngineTerminations::new(config);
         let mut now = NOW;
         for _ in 0..input.arbitrary_len::<[u8; 8]>()?.min(200) {
             now = now + Duration::from_millis(input.int_in_range(0..=2_000)?);
@@ -322,11 +322,11 @@
 
 #[test]
 fn a_request_that_goes_from_engine_to_engine_in_no_time_counts_each_time() {
-    let mut ends = EngineEnds::default();
+    let mut ends = EngineTerminations::default();
     let millis = Duration::from_millis;
     for number in 0..3 {
         let sent_at = NOW + millis(2 * number);
-        let run = EndedRun { content: content("culprit"), sent_at };
+        let run = TerminatedRun { content: content("culprit"), sent_at };
         ends.note_ended(engine(number as usize), &[run], sent_at + millis(1));
     }
     assert!(is_blocked(&ends, "culprit", NOW + SECOND), "each run was sent after the end before");
@@ -334,16 +334,16 @@
 
 #[test]
 fn a_culprit_is_blamed_and_bystanders_by_chance_are_not() {
-    let rules = BlameRules { least: 3, one_moment: Duration::from_millis(50) };
+    let rules = AttributionRules { least: 3, one_moment: Duration::from_millis(50) };
     for seed in 0..200 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let ends: Vec<EngineEnd> = (0..6)
+        let ends: Vec<EngineTermination> = (0..6)
             .map(|number| {
                 let at = NOW + SECOND * number;
                 // Each bystander is there for about every second end.
                 let beside = (0..12).filter(|_| random.bool()).map(|name| content(&format!("beside-{name}")));
                 let runs = std::iter::once(content("culprit")).chain(beside).map(|content| (content, at - RAN));
-                EngineEnd { at, runs: runs.collect() }
+                EngineTermination { at, runs: runs.collect() }
             })
             .collect();
         let always_there = |name: &&ContentId| ends.iter().all(|end| end.runs.contains_key(name));
--- a/crates/core/tests/relay_late_readings.rs
+++ b/crates/core/tests/relay_late_readings.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use arbtest::arbitrary::Unstructured;
-use havengate_core::relay::LateReadings;
+use havengate_core::relay::LatePrefills;
 use havengate_core::time::Timestamp;
 
 const NOW: Timestamp = Timestamp::from_millis(60_000);
@@ -18,12 +18,12 @@
 
 #[test]
 fn nothing_seen_means_as_expected() {
-    assert_eq!(LateReadings::default().stretch(NOW), 1.0);
+    assert_eq!(LatePrefills::default().stretch(NOW), 1.0);
 }
 
 #[test]
 fn a_prompt_that_waits_longer_than_expected_says_so_while_it_waits() {
-    let mut readings = LateReadings::default();
+    let mut readings = LatePrefills::default();
     readings.begin(millis(100), NOW);
     assert_eq!(readings.stretch(NOW + millis(80)), 1.0);
     assert!((readings.stretch(NOW + millis(400)) - 4.0).abs() < 1e-9);
@@ -33,7 +33,7 @@
 
 #[test]
 fn what_was_seen_is_forgotten_so_that_late_prompts_are_tried_again() {
-    let mut readings = LateReadings::default();
+    let mut readings = LatePrefills::default();
     for _ in 0..20 {
         let id = readings.begin(millis(100), NOW);
         readings.end(id, true, NOW + millis(500));
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_prompt_that_was_given_up_before_its_time_shows_nothing() {
-    let mut readings = LateReadings::default();
+    let mut readings = LatePrefills::default();
     let id = readings.begin(millis(500), NOW);
     readings.end(id, false, NOW + millis(5));
     assert_eq!(readings.stretch(NOW + millis(5)), 1.0);
@@ -57,7 +57,7 @@
 /// One engine reads a prompt in 50 ms, those in time first; one in time comes every 50 ms for six seconds, and a late one
 /// every 100 ms for ten. Returns the late prompts that waited until their callers gave up, after 2 s, and those read.
 fn late_prompts(refuses: bool) -> (usize, usize) {
-    let (mut readings, mut queue) = (LateReadings::default(), Vec::new());
+    let (mut readings, mut queue) = (LatePrefills::default(), Vec::new());
     let (mut in_time, mut held, mut read) = (8_u32, 0, 0);
     for tick in 0..200_u64 {
         let now = NOW + millis(50 * tick);
@@ -93,7 +93,7 @@
 
 /// Any course leaves nothing behind.
 fn nothing_is_left_behind(choices: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
-    let (mut readings, mut open) = (LateReadings::default(), Vec::new());
+    let (mut readings, mut open) = (LatePrefills::default(), Vec::new());
     let mut now = NOW;
     for _ in 0..60 {
         now = now + millis(choices.int_in_range(0..=300)?);
--- a/crates/core/tests/relay_prompt_index.rs
+++ b/crates/core/tests/relay_prompt_index.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use havengate_core::back_ends::{BackEnd, EngineStage};
-use havengate_core::relay::{Prompt, PromptIndex, PromptIndexConfig, PromptPart, ReadingId, Urgency};
+use havengate_core::relay::{PrefillId, Prompt, PromptIndex, PromptIndexConfig, PromptPart, Urgency};
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, BackEndId};
 use support::relay_fixture::back_end;
@@ -37,7 +37,7 @@
     BackEnd { id: engine(number), ..back_end(number, Some(EngineStage::Prefill)) }
 }
 
-fn begin(index: &mut PromptIndex, number: u8, prompt: &Prompt, now: Timestamp) -> ReadingId {
+fn begin(index: &mut PromptIndex, number: u8, prompt: &Prompt, now: Timestamp) -> PrefillId {
     index.begin(&engine_called(number), prompt, Urgency::InTime, now)
 }
 
@@ -111,7 +111,7 @@
     read(&mut here, 1, &prompt(), START);
     let notice = here.notice(address(1), 1, START);
     for sequence in 1..=20 {
-        there.receive(havengate_core::relay::ReadingsNotice { sequence, ..notice.clone() }, START);
+        there.receive(havengate_core::relay::PrefillNotice { sequence, ..notice.clone() }, START);
     }
     assert_eq!(unread(&there, 1), 3_000, "the part was not pushed out by its own news");
 }
--- a/crates/core/tests/relay_short_reading.rs
+++ b/crates/core/tests/relay_short_reading.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use havengate_core::relay::ShortReading;
+use havengate_core::relay::ShortPrefill;
 
 const TARGET: Duration = Duration::from_millis(250);
 
-fn times_apart(short_reading: &ShortReading) -> usize {
+fn times_apart(short_reading: &ShortPrefill) -> usize {
     let mut random = fastrand::Rng::with_seed(1);
     (0..1_000).filter(|_| short_reading.prefers_apart(TARGET, &mut random)).count()
 }
 
-fn after(apart_millis: u64, there_millis: u64, requests: usize) -> ShortReading {
-    let mut short_reading = ShortReading::default();
+fn after(apart_millis: u64, there_millis: u64, requests: usize) -> ShortPrefill {
+    let mut short_reading = ShortPrefill::default();
     for _ in 0..requests {
         short_reading.observe(true, Duration::from_millis(apart_millis));
         short_reading.observe(false, Duration::from_millis(there_millis));
@@ -22,7 +22,7 @@
 
 #[test]
 fn prompts_are_read_apart_while_that_is_fast_enough_even_if_the_other_way_is_faster() {
-    assert_eq!(times_apart(&ShortReading::default()), 1_000);
+    assert_eq!(times_apart(&ShortPrefill::default()), 1_000);
     assert_eq!(times_apart(&after(60, 20, 50)), 1_000);
 }
 
--- a/crates/core/tests/relay_telling_pace.rs
+++ b/crates/core/tests/relay_telling_pace.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use havengate_core::relay::{TellingPace, TellingPaceConfig};
+use havengate_core::relay::{AnnouncementPace, AnnouncementPaceConfig};
 use havengate_core::time::Timestamp;
 
 const START: Timestamp = Timestamp::from_millis(10_000);
 
 fn stays_within(random: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
-    let config = TellingPaceConfig { bytes_per_second: 50_000.0, burst: Duration::from_millis(500) };
-    let mut pace = TellingPace::new(config, START);
+    let config = AnnouncementPaceConfig { bytes_per_second: 50_000.0, burst: Duration::from_millis(500) };
+    let mut pace = AnnouncementPace::new(config, START);
     let (mut now, mut sent, mut largest) = (START, 0, 0);
     for _ in 0..100 {
         now = now + pace.wait(now) + Duration::from_millis(random.int_in_range(0..=50)?);
@@ -35,7 +35,7 @@
 
 #[test]
 fn after_a_quiet_while_news_is_told_at_once() {
-    let mut pace = TellingPace::new(TellingPaceConfig::default(), START);
+    let mut pace = AnnouncementPace::new(AnnouncementPaceConfig::default(), START);
     pace.spend(1_000_000, START);
     assert!(!pace.wait(START).is_zero());
     assert!(pace.wait(START + Duration::from_secs(60)).is_zero());
--- a/crates/core/tests/replication_configuration.rs
+++ b/crates/core/tests/replication_configuration.rs
@@ -9,7 +9,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
 use havengate_core::replication::{
-    ConfigurationChanges, ConfigurationHistory, ConfigurationNews, ListChanges, PackedNews, UnusableNews,
+    ConfigurationChanges, ConfigurationHistory, ConfigurationUpdate, InvalidUpdate, ListChanges, PackedUpdate,
 };
 use havengate_core::routing::{
     CallerLimits, ConfigurationNumber, KeyDigest, Route, TenantAccess, TrafficConfiguration,
@@ -44,8 +44,8 @@
     }
 }
 
-fn changes(base: &TrafficConfiguration, target: &TrafficConfiguration) -> ConfigurationNews {
-    ConfigurationNews::Changes(ConfigurationChanges::between(base, target).expect("it can be fingerprinted"))
+fn changes(base: &TrafficConfiguration, target: &TrafficConfiguration) -> ConfigurationUpdate {
+    ConfigurationUpdate::Changes(ConfigurationChanges::between(base, target).expect("it can be fingerprinted"))
 }
 
 fn any_configuration(version: u64, random: &mut Unstructured<'_>) -> Result<TrafficConfiguration> {
@@ -59,7 +59,7 @@
     let property = |random: &mut Unstructured<'_>| {
         let (base, target) = (any_configuration(3, random)?, any_configuration(7, random)?);
         let sent = changes(&base, &target).write_to_vec().expect("it can be written");
-        let news = ConfigurationNews::read_from_buffer(&sent).expect("it can be read");
+        let news = ConfigurationUpdate::read_from_buffer(&sent).expect("it can be read");
         assert_eq!(news.apply(Some(&base)), Ok(target));
         Ok(())
     };
@@ -73,13 +73,13 @@
     let base = configuration(3, &[1, 2, 3], None);
     let target = configuration(4, &[1, 2, 3, 4], None);
     let news = || changes(&base, &target);
-    assert_eq!(news().apply(None), Err(UnusableNews::AnotherBase));
+    assert_eq!(news().apply(None), Err(InvalidUpdate::AnotherBase));
     let older = configuration(2, &[1, 2, 3], None);
-    assert_eq!(news().apply(Some(&older)), Err(UnusableNews::AnotherBase));
+    assert_eq!(news().apply(Some(&older)), Err(InvalidUpdate::AnotherBase));
     let namesake = configuration(3, &[1, 2, 5], None);
-    assert_eq!(news().apply(Some(&namesake)), Err(UnusableNews::AnotherResult));
+    assert_eq!(news().apply(Some(&namesake)), Err(InvalidUpdate::AnotherResult));
     let shorter = configuration(3, &[1], None);
-    assert_eq!(news().apply(Some(&shorter)), Err(UnusableNews::AnotherBase));
+    assert_eq!(news().apply(Some(&shorter)), Err(InvalidUpdate::AnotherBase));
     assert_eq!(news().apply(Some(&base)), Ok(target));
 }
 
@@ -98,9 +98,9 @@
     let base = configuration(3, &[1, 2, 3], Some(&[1]));
     let property = |random: &mut Unstructured<'_>| {
         let bytes: Vec<u8> = random.arbitrary()?;
-        if let Ok(ConfigurationNews::Changes(changes)) = ConfigurationNews::read_from_buffer(&bytes) {
+        if let Ok(ConfigurationUpdate::Changes(changes)) = ConfigurationUpdate::read_from_buffer(&bytes) {
             // Whatever they are, they were not made for this configuration.
-            assert!(ConfigurationNews::Changes(changes).apply(Some(&base)).is_err());
+            assert!(ConfigurationUpdate::Changes(changes).apply(Some(&base)).is_err());
         }
         Ok(())
     };
@@ -109,8 +109,8 @@
     }
 }
 
-fn step(version: u64, bytes: usize) -> PackedNews {
-    PackedNews { version: ConfigurationNumber(version), bytes: vec![0; bytes] }
+fn step(version: u64, bytes: usize) -> PackedUpdate {
+    PackedUpdate { version: ConfigurationNumber(version), bytes: vec![0; bytes] }
 }
 
 fn versions_since(history: &ConfigurationHistory, version: u64) -> Option<Vec<u64>> {
--- a/crates/core/tests/stages_demand.rs
+++ b/crates/core/tests/stages_demand.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use havengate_core::relay::ReadingTotals;
+use havengate_core::relay::PrefillTotals;
 use havengate_core::stages::{DemandCounters, DemandReport, DemandTable, DemandTableConfig};
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, ServiceName};
@@ -23,7 +23,7 @@
         sender: address(node),
         life,
         services: counters.services(),
-        readings_alone: ReadingTotals::default(),
+        readings_alone: PrefillTotals::default(),
     }
 }
 
@@ -141,7 +141,7 @@
 fn what_all_nodes_have_seen_tells_the_rate_though_each_has_seen_little() {
     let mut table = table();
     for node in 1..=60 {
-        let readings_alone = ReadingTotals { tokens: 12_000, micros: 200_000 };
+        let readings_alone = PrefillTotals { tokens: 12_000, micros: 200_000 };
         let counters = DemandCounters::default();
         table.receive(DemandReport { readings_alone, ..report(node, 1, &counters) }, START);
     }
--- a/crates/core/tests/support/engine_world.rs
+++ b/crates/core/tests/support/engine_world.rs
@@ -5,7 +5,7 @@
 
 use havengate_core::back_ends::{EngineStage, Usability};
 use havengate_core::relay::{
-    Candidate, PlacementConfig, Prompt, PromptIndex, PromptIndexConfig, PromptPart, Purpose, ShortReading, Urgency,
+    Candidate, PlacementConfig, Prompt, PromptIndex, PromptIndexConfig, PromptPart, Purpose, ShortPrefill, Urgency,
     place,
 };
 use havengate_core::time::Timestamp;
@@ -61,14 +61,14 @@
 /// What one node goes by.
 struct Node {
     index: PromptIndex,
-    short_reading: ShortReading,
+    short_reading: ShortPrefill,
 }
 
 impl Node {
     fn start() -> Self {
         let mut index = PromptIndex::new(PromptIndexConfig::default());
         index.set_cache_tokens(CACHE_TOKENS);
-        Node { index, short_reading: ShortReading::default() }
+        Node { index, short_reading: ShortPrefill::default() }
     }
 }
 
--- a/crates/core/tests/support/world_engine.rs
+++ b/crates/core/tests/support/world_engine.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 use havengate_core::back_ends::{BackEnd, EngineStage};
-use havengate_core::relay::{Prompt, ReadingId};
+use havengate_core::relay::{PrefillId, Prompt};
 
 use super::relay_fixture::back_end;
 
@@ -41,7 +41,7 @@
     pub sent: u64,
     /// From when on that engine has what it needs for it: a KV cache that is moved takes a while.
     pub ready: u64,
-    pub reading: Option<ReadingId>,
+    pub reading: Option<PrefillId>,
     /// Whether another engine has read its prompt.
     pub was_moved: bool,
     pub unread: f64,
@@ -61,7 +61,7 @@
     /// Its answer has begun.
     Began {
         node: usize,
-        reading: Option<ReadingId>,
+        reading: Option<PrefillId>,
         prompt: Prompt,
         is_long: bool,
         was_moved: bool,
--- a/crates/relay/src/broken_runs.rs
+++ b/crates/relay/src/broken_runs.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use havengate_core::back_ends::BackEnd;
-use havengate_core::relay::{ContentId, EndedRun};
+use havengate_core::relay::{ContentId, TerminatedRun};
 use havengate_core::time::{Timestamp, whole_millis};
 use havengate_core::world::BackEndId;
 use havengate_node::clock::Clock;
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::back_ends::{ConnectError, ConnectionPool};
-use crate::engine_ends::SharedEngineEnds;
+use crate::engine_ends::SharedEngineTerminations;
 use crate::metrics::RelayMetrics;
 
 /// A process that ends closes its connections and its listener one after the other; a look in between would find it alive.
@@ -53,7 +53,7 @@
 
 struct Shared {
     pool: ConnectionPool,
-    ends: SharedEngineEnds,
+    ends: SharedEngineTerminations,
     clock: Clock,
     metrics: RelayMetrics,
     /// Wakes whoever waits for a fate.
@@ -69,7 +69,7 @@
 
 impl BrokenRuns {
     /// No run was broken off yet.
-    pub fn new(pool: ConnectionPool, ends: SharedEngineEnds, clock: Clock, metrics: RelayMetrics) -> Self {
+    pub fn new(pool: ConnectionPool, ends: SharedEngineTerminations, clock: Clock, metrics: RelayMetrics) -> Self {
         let (settled, open) = (Notify::new(), RefCell::default());
         BrokenRuns { shared: Rc::new(Shared { pool, ends, clock, metrics, settled, open }) }
     }
@@ -98,7 +98,8 @@
             return;
         };
         let ran = runs.iter().map(|broken| &broken.run).filter(|run| run.sent_at < ended_at);
-        let ran: Vec<EndedRun> = ran.map(|run| EndedRun { content: run.content, sent_at: run.sent_at }).collect();
+        let ran: Vec<TerminatedRun> =
+            ran.map(|run| TerminatedRun { content: run.content, sent_at: run.sent_at }).collect();
         self.shared.ends.note_ended(back_end, &ran, ended_at);
     }
 
--- a/crates/relay/src/callers/exchange_driver.rs
+++ b/crates/relay/src/callers/exchange_driver.rs
@@ -19,7 +19,7 @@
 use super::record::{RequestEnd, RequestRecord};
 use super::send_step::{discard, first_piece, outcome_of_head, read_whole, send_noted};
 use super::stream_body::StreamBody;
-use super::traffic::{LateReadingTimer, Traffic};
+use super::traffic::{LatePrefillTimer, Traffic};
 use crate::back_ends::{AnswerInProgress, SendFailure, is_unacknowledged};
 use crate::protocol::{AnswerHead, CacheSource, Protocol, SendStage};
 
@@ -57,11 +57,11 @@
     pub(super) record: Option<RequestRecord>,
     pub(super) tried: Vec<BackEndId>,
     /// Runs while a late prompt waits to be read.
-    pub(super) late_reading: Option<LateReadingTimer<'a, P>>,
+    pub(super) late_reading: Option<LatePrefillTimer<'a, P>>,
 }
 
 /// Where a request's prompt is read.
-pub(super) enum ReadingPlan {
+pub(super) enum PrefillPlan {
     /// By no engine before the request's end.
     Nowhere,
     /// By the engine that answers, whichever it is.
@@ -115,9 +115,9 @@
                 return self.end(next, answer);
             }
             self.wait_for_fate(&back_end.id).await;
-            if self.exchange.sends() > 0 || matches!(plan, ReadingPlan::There(_)) {
+            if self.exchange.sends() > 0 || matches!(plan, PrefillPlan::There(_)) {
                 // A handle is taken only once, and may be gone with its engine: the next engine reads the prompt itself.
-                plan = ReadingPlan::WhereAnswered;
+                plan = PrefillPlan::WhereAnswered;
             }
             self.tried.push(back_end.id);
         }
@@ -140,9 +140,9 @@
     }
 
     /// Why there is no back end for the request.
-    fn why_nowhere(&self, plan: &ReadingPlan) -> NotRunReason {
+    fn why_nowhere(&self, plan: &PrefillPlan) -> NotRunReason {
         match plan {
-            ReadingPlan::Nowhere => NotRunReason::DeadlineUnreachable,
+            PrefillPlan::Nowhere => NotRunReason::DeadlineUnreachable,
             _ if all_rest_for(self.traffic, &self.request.service).is_some() => NotRunReason::BackEndsRest,
             _ => NotRunReason::NoEngine,
         }
@@ -196,11 +196,11 @@
 
     /// Sends the request to `back_end` for its answer. A long prompt that is read there, or whose KV cache is moved
     /// there, is noted until the answer begins.
-    async fn attempt(&mut self, back_end: &BackEnd, plan: &ReadingPlan) -> Attempt {
+    async fn attempt(&mut self, back_end: &BackEnd, plan: &PrefillPlan) -> Attempt {
         let traffic = self.traffic;
         let Some(prompt) = self.request.long_prompt().cloned() else {
             let stage = match plan {
-                ReadingPlan::Elsewhere { source, .. } => SendStage::Decode(source.clone()),
+                PrefillPlan::Elsewhere { source, .. } => SendStage::Decode(source.clone()),
                 _ => SendStage::Whole,
             };
             let _timer = back_end.stage.map(|_| traffic.time_short_prompt(matches!(stage, SendStage::Decode(_))));
@@ -211,7 +211,7 @@
             }
             return attempt;
         };
-        if let ReadingPlan::Elsewhere { source, .. } = plan {
+        if let PrefillPlan::Elsewhere { source, .. } = plan {
             let began = traffic.clock.now();
             let attempt = self.attempt_stage(back_end, &SendStage::Decode(source.clone())).await;
             if matches!(attempt, Attempt::Answered(_)) {
@@ -319,16 +319,16 @@
         }
     }
 
-    fn place_answer(&mut self, plan: &ReadingPlan) -> Option<BackEnd> {
+    fn place_answer(&mut self, plan: &PrefillPlan) -> Option<BackEnd> {
         match plan {
-            ReadingPlan::Nowhere => None,
-            ReadingPlan::There(back_end) => Some(back_end.clone()),
+            PrefillPlan::Nowhere => None,
+            PrefillPlan::There(back_end) => Some(back_end.clone()),
             // The KV cache of a short prompt is moved in no time; all of them would crowd on the engines of a zone with
             // many prefill engines and few others.
-            ReadingPlan::Elsewhere { .. } if self.request.long_prompt().is_none() => self.place_decode(None),
-            ReadingPlan::Elsewhere { zone, .. } => self.place_decode(Some(zone)),
-            ReadingPlan::WhereAnswered if self.request.head.prompt.is_some() => self.place_decode(None),
-            ReadingPlan::WhereAnswered => self.place(&Purpose::Application),
+            PrefillPlan::Elsewhere { .. } if self.request.long_prompt().is_none() => self.place_decode(None),
+            PrefillPlan::Elsewhere { zone, .. } => self.place_decode(Some(zone)),
+            PrefillPlan::WhereAnswered if self.request.head.prompt.is_some() => self.place_decode(None),
+            PrefillPlan::WhereAnswered => self.place(&Purpose::Application),
         }
     }
 
--- a/crates/relay/src/callers/reading_step.rs
+++ b/crates/relay/src/callers/reading_step.rs
@@ -3,13 +3,13 @@
 use havengate_core::back_ends::{BackEnd, EngineStage};
 use havengate_core::relay::{Placed, Prompt, Purpose, SendOutcome, Urgency};
 
-use super::exchange_driver::{Driver, ReadingPlan};
+use super::exchange_driver::{Driver, PrefillPlan};
 use super::send_step::{discard, outcome_of_failure, outcome_of_head, read_whole, send_noted};
 use crate::protocol::{CacheSource, Protocol, SendStage};
 
 impl<P: Protocol> Driver<'_, P> {
     /// Decides where a long prompt is read, and has it read there if that is a prefill engine.
-    pub(super) async fn plan_reading(&mut self) -> ReadingPlan {
+    pub(super) async fn plan_reading(&mut self) -> PrefillPlan {
         let Some(prompt) = self.request.long_prompt().cloned() else {
             return self.plan_short_reading().await;
         };
@@ -27,11 +27,11 @@
                 record.late_stretch = late_stretch;
             }
             if self.traffic.placement().refuses_early && placed.is_hopeless(left, late_stretch) {
-                return ReadingPlan::Nowhere;
+                return PrefillPlan::Nowhere;
             }
             self.late_reading = late_stretch.map(|_| self.traffic.time_late_reading(placed.reading));
             if back_end.stage != Some(EngineStage::Prefill) {
-                return ReadingPlan::There(back_end);
+                return PrefillPlan::There(back_end);
             }
             if let Some(record) = &mut self.record {
                 record.prefill_back_end = Some(back_end.id.clone());
@@ -45,35 +45,35 @@
                 return plan;
             }
         }
-        ReadingPlan::WhereAnswered
+        PrefillPlan::WhereAnswered
     }
 
     /// Has a short prompt read by a prefill engine that has nothing else to read, if there is one; else it is read where
     /// it is answered.
-    async fn plan_short_reading(&mut self) -> ReadingPlan {
+    async fn plan_short_reading(&mut self) -> PrefillPlan {
         let traffic = self.traffic;
         let Some(tokens) = self.request.head.prompt.as_ref().map(|prompt| prompt.tokens) else {
-            return ReadingPlan::WhereAnswered;
+            return PrefillPlan::WhereAnswered;
         };
         traffic.demand.record_prompt(&self.request.service, tokens);
         let target = self.request.route.target_latency;
         let prefers = |random: &mut fastrand::Rng| traffic.short_reading.get().prefers_apart(target, random);
         if !traffic.placement().short_prompts_apart || !traffic.with_random(prefers) {
-            return ReadingPlan::WhereAnswered;
+            return PrefillPlan::WhereAnswered;
         }
         let now = traffic.clock.now();
         let engine = traffic.readings.with_index(|index| self.place(&Purpose::ReadAside { index, now }));
         let Some(engine) = engine else {
-            return ReadingPlan::WhereAnswered;
+            return PrefillPlan::WhereAnswered;
         };
         if let Some(record) = &mut self.record {
             record.prefill_back_end = Some(engine.id.clone());
         }
-        self.read_at(engine).await.unwrap_or(ReadingPlan::WhereAnswered)
+        self.read_at(engine).await.unwrap_or(PrefillPlan::WhereAnswered)
     }
 
     /// Has the prompt read by a prefill engine; `None` when it is not read there.
-    async fn read_at(&mut self, engine: BackEnd) -> Option<ReadingPlan> {
+    async fn read_at(&mut self, engine: BackEnd) -> Option<PrefillPlan> {
         match self.prefill(&engine).await {
             Ok(handle) => {
                 self.exchange.after_prefill(None);
@@ -82,7 +82,7 @@
                     record.read_after = Some(now.since(record.arrived));
                 }
                 let source = CacheSource { address: engine.address, handle };
-                Some(ReadingPlan::Elsewhere { source, zone: engine.zone })
+                Some(PrefillPlan::Elsewhere { source, zone: engine.zone })
             }
             Err(outcome) => {
                 self.exchange.after_prefill(Some(outcome));
--- a/crates/relay/src/callers/send_step.rs
+++ b/crates/relay/src/callers/send_step.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use havengate_core::back_ends::{BackEnd, BackEndNotice, HeardLimit, Usability};
+use havengate_core::back_ends::{BackEnd, BackEndNotice, LimitChange, Usability};
 use havengate_core::relay::{SendOutcome, Urgency};
 use havengate_core::time::{Timestamp, whole_millis};
 use havengate_core::world::Address;
@@ -137,7 +137,7 @@
         let rest_ms = whole_millis(rest);
         log::info!(event = "back_end_rests", back_end:% = back_end.id, rest_ms, request; "");
     }
-    if let Some(HeardLimit { limit, begins }) = heard.limit {
+    if let Some(LimitChange { limit, begins }) = heard.limit {
         // Another number reaches peers in the course of things: an engine may name a new one in each answer.
         if begins {
             traffic.readings.note_limit(&back_end.id);
--- a/crates/relay/src/callers/traffic.rs
+++ b/crates/relay/src/callers/traffic.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use havengate_core::relay::{
-    BudgetShare, LateReadingId, LateReadings, PlacementConfig, SharedRetryBudget, SharedRetryBudgetConfig, ShortReading,
+    BudgetShare, LatePrefillId, LatePrefills, PlacementConfig, SharedRetryBudget, SharedRetryBudgetConfig, ShortPrefill,
 };
 use havengate_core::routing::SplitTurns;
 use havengate_core::time::Timestamp;
@@ -20,7 +20,7 @@
 use crate::demand::SharedDemand;
 use crate::knowledge::{SharedKnowledge, SharedMoment};
 use crate::metrics::RelayMetrics;
-use crate::readings::Readings;
+use crate::readings::PeerNotices;
 use crate::usage::SharedUsage;
 
 /// What all requests of a node share.
@@ -48,11 +48,11 @@
     /// Runs that back ends broke off.
     pub broken_runs: BrokenRuns,
     /// The prompts that are read now, and where shared parts are kept.
-    pub readings: Readings,
+    pub readings: PeerNotices,
     /// How long short prompts took, by where they were read.
-    pub short_reading: Cell<ShortReading>,
+    pub short_reading: Cell<ShortPrefill>,
     /// The late prompts that wait to be read.
-    late_readings: RefCell<LateReadings>,
+    late_readings: RefCell<LatePrefills>,
     /// Counters and histograms.
     pub metrics: RelayMetrics,
     /// Requests that are open now.
@@ -76,7 +76,7 @@
     ) -> Self {
         let SharedWithTraffic { knowledge, demand, usage, configuration_shown, notices, clock, metrics } = shared;
         let pool = ConnectionPool::new(PoolLimits::default());
-        let readings = Readings::new(Arc::clone(&knowledge), notices.clone(), clock, metrics.clone());
+        let readings = PeerNotices::new(Arc::clone(&knowledge), notices.clone(), clock, metrics.clone());
         let engine_ends = readings.engine_ends().clone();
         Traffic {
             protocol,
@@ -161,9 +161,9 @@
     }
 
     /// Times a late prompt from now until it was read, or until the timer is dropped because it was given up.
-    pub fn time_late_reading(&self, expected: Duration) -> LateReadingTimer<'_, P> {
+    pub fn time_late_reading(&self, expected: Duration) -> LatePrefillTimer<'_, P> {
         let id = self.late_readings.borrow_mut().begin(expected, self.clock.now());
-        LateReadingTimer { traffic: self, id, is_read: false }
+        LatePrefillTimer { traffic: self, id, is_read: false }
     }
 
     /// Calls `choose` with the turns of split routes.
@@ -193,20 +193,20 @@
 }
 
 /// Times a late prompt.
-pub struct LateReadingTimer<'t, P> {
+pub struct LatePrefillTimer<'t, P> {
     traffic: &'t Traffic<P>,
-    id: LateReadingId,
+    id: LatePrefillId,
     is_read: bool,
 }
 
-impl<P> LateReadingTimer<'_, P> {
+impl<P> LatePrefillTimer<'_, P> {
     /// Notes that the prompt was read.
     pub fn end(mut self) {
         self.is_read = true;
     }
 }
 
-impl<P> Drop for LateReadingTimer<'_, P> {
+impl<P> Drop for LatePrefillTimer<'_, P> {
     fn drop(&mut self) {
         let now = self.traffic.clock.now();
         self.traffic.late_readings.borrow_mut().end(self.id, self.is_read, now);
--- a/crates/relay/src/control/block_keeper.rs
+++ b/crates/relay/src/control/block_keeper.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use havengate_core::relay::{ContentId, EndsNotice, ToldEnd};
+use havengate_core::relay::{ContentId, ReportedTermination, TerminationNotice};
 use havengate_core::store::StoreEra;
 use havengate_core::time::{doubled, whole_millis};
 use havengate_core::world::Address;
@@ -31,13 +31,13 @@
 
 /// What the traffic thread has learned of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BlockNews {
+pub enum BlockUpdate {
     /// It is blocked from now on.
     Blocked {
         /// The request.
         content: ContentId,
         /// The engines that ended under it.
-        ends: Vec<ToldEnd>,
+        ends: Vec<ReportedTermination>,
     },
     /// It was blocked, and was answered whole.
     Cleared(ContentId),
@@ -46,15 +46,15 @@
 /// The traffic thread's end of the way to the store.
 pub struct BlockStoreLink {
     /// Takes what is to be written.
-    pub news: mpsc::Sender<BlockNews>,
+    pub news: mpsc::Sender<BlockUpdate>,
     /// Hands out what was read at the start.
-    pub kept: mpsc::Receiver<EndsNotice>,
+    pub kept: mpsc::Receiver<TerminationNotice>,
 }
 
 /// The control thread's end.
 pub struct BlockKeeperLink {
-    news: mpsc::Receiver<BlockNews>,
-    kept: mpsc::Sender<EndsNotice>,
+    news: mpsc::Receiver<BlockUpdate>,
+    kept: mpsc::Sender<TerminationNotice>,
 }
 
 /// The way between the traffic thread and the store.
@@ -92,11 +92,11 @@
     loop {
         tokio::select! {
             news = link.news.recv() => match news {
-                Some(BlockNews::Blocked { content, ends }) => {
+                Some(BlockUpdate::Blocked { content, ends }) => {
                     let record = BlockRecord { content, written_millis: unix_millis(), ends };
                     keeper.write(content, Some(record)).await;
                 }
-                Some(BlockNews::Cleared(content)) => keeper.write(content, None).await,
+                Some(BlockUpdate::Cleared(content)) => keeper.write(content, None).await,
                 // The process is ending.
                 None => return,
             },
@@ -173,10 +173,11 @@
 }
 
 /// What a record tells, as a peer would tell it now.
-fn notice_of(record: BlockRecord, age: Duration, sender: Address) -> EndsNotice {
+fn notice_of(record: BlockRecord, age: Duration, sender: Address) -> TerminationNotice {
     let age_micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
-    let older = |end: ToldEnd| ToldEnd { age_micros: end.age_micros.saturating_add(age_micros), ..end };
-    EndsNotice { sender, ends: record.ends.into_iter().map(older).collect(), served: Vec::new() }
+    let older =
+        |end: ReportedTermination| ReportedTermination { age_micros: end.age_micros.saturating_add(age_micros), ..end };
+    TerminationNotice { sender, ends: record.ends.into_iter().map(older).collect(), served: Vec::new() }
 }
 
 /// The time of day. A few seconds more or less make a block as much longer or shorter.
--- a/crates/relay/src/control/duties/lease_keeper.rs
+++ b/crates/relay/src/control/duties/lease_keeper.rs
@@ -131,7 +131,7 @@
                 self.lease.doubt();
                 None
             }
-            Err(StoreError::FormerEra) => {
+            Err(StoreError::PreviousEra) => {
                 // It is known to count for nothing, so there is nothing to wait for.
                 self.metrics.record_store_call("lease_write", "former_era");
                 log::info!(event = "duty_lease_of_former_era", term = write.record.term.0; "");
--- a/crates/relay/src/control/duties/usage_duty.rs
+++ b/crates/relay/src/control/duties/usage_duty.rs
@@ -7,8 +7,8 @@
 
 use havengate_core::authority::Term;
 use havengate_core::duties::usage::{
-    LedgerWrite, UsageConfig, UsageCountsMessage, UsageLedger, UsageReport, UsageReports, UsageStep, UsageTable,
-    UsageTelling, WindowNumber,
+    LedgerWrite, UsageAnnouncements, UsageConfig, UsageCountsMessage, UsageLedger, UsageReport, UsageReports,
+    UsageStep, UsageTable, WindowNumber,
 };
 use havengate_core::duties::{DutyAnswer, Succession};
 use havengate_core::replication::PeerMessage;
@@ -69,7 +69,7 @@
     clock: Clock,
     metrics: RelayMetrics,
     table: Rc<RefCell<UsageTable>>,
-    telling: UsageTelling,
+    telling: UsageAnnouncements,
     reports: UsageReports,
     pacing: Pacing,
     started: Timestamp,
@@ -95,7 +95,7 @@
             learner,
             clock,
             metrics,
-            telling: UsageTelling::default(),
+            telling: UsageAnnouncements::default(),
             reports: UsageReports::default(),
             pacing: Pacing::default(),
             started: clock.now(),
@@ -232,7 +232,7 @@
                 self.metrics.record_store_call("usage_write", "conflict");
                 self.reports.doubt();
             }
-            Err(StoreError::FormerEra) => {
+            Err(StoreError::PreviousEra) => {
                 self.metrics.record_store_call("usage_write", "former_era");
                 self.reports.doubt();
             }
--- a/crates/relay/src/control/follower.rs
+++ b/crates/relay/src/control/follower.rs
@@ -112,7 +112,7 @@
         StoreError::Refused(_) => "refused",
         StoreError::Throttled => "throttled",
         StoreError::HistoryGone => "history_gone",
-        StoreError::FormerEra => "former_era",
+        StoreError::PreviousEra => "former_era",
         StoreError::Malformed(_) => "malformed",
     }
 }
--- a/crates/relay/src/control/heard_eras.rs
+++ b/crates/relay/src/control/heard_eras.rs
@@ -12,7 +12,7 @@
 const ERALESS_PEERS_MAXIMUM: usize = 2_000;
 
 /// What was heard of eras, by whomever: a reason to ask, and nothing that is believed.
-pub struct HeardEras {
+pub struct ObservedEras {
     newest: watch::Sender<StoreEra>,
     /// Since when this process has heard of the newest one.
     since: Cell<Timestamp>,
@@ -20,10 +20,10 @@
     eraless: RefCell<BTreeSet<Address>>,
 }
 
-impl HeardEras {
+impl ObservedEras {
     /// Nothing was heard yet.
     pub fn new() -> Self {
-        HeardEras {
+        ObservedEras {
             newest: watch::Sender::new(StoreEra::default()),
             since: Cell::new(Timestamp::ZERO),
             eraless: RefCell::default(),
--- a/crates/relay/src/control/learner.rs
+++ b/crates/relay/src/control/learner.rs
@@ -8,9 +8,10 @@
 
 use havengate_core::authority::Term;
 use havengate_core::back_ends::{
-    BackEnd, Directory, DirectoryChange, DirectoryChanges, DirectoryEntry, DirectoryListing, DirectoryNews, EngineStage,
+    BackEnd, Directory, DirectoryChange, DirectoryChanges, DirectoryEntry, DirectoryListing, DirectoryUpdate,
+    EngineStage,
 };
-use havengate_core::replication::{ConfigurationNews, KnowledgeAges, PackedNews, Pull, PullAnswer};
+use havengate_core::replication::{ConfigurationUpdate, KnowledgeAges, PackedUpdate, Pull, PullAnswer};
 use havengate_core::routing::{ConfigurationNumber, KeyTable, TrafficConfiguration};
 use havengate_core::store::{Position, Revision, StoreEra};
 use havengate_core::time::Timestamp;
@@ -19,8 +20,8 @@
 use havengate_wire::unpack;
 use tokio::sync::watch;
 
-use super::heard_eras::HeardEras;
-use super::tellable_news::{TellableNews, pack_step};
+use super::heard_eras::ObservedEras;
+use super::tellable_news::{AnnounceableUpdates, pack_step};
 use crate::knowledge::{ActiveConfiguration, AnnouncedChange, Knowledge, SharedKnowledge, SharedMoment};
 use crate::metrics::RelayMetrics;
 
@@ -49,10 +50,10 @@
     configuration_confirmed_at: Rc<Cell<Option<Timestamp>>>,
     /// A position of the store at which the configuration in force was the newest.
     configuration_at: Rc<Cell<Option<Position>>>,
-    configuration_news: Rc<RefCell<TellableNews>>,
+    configuration_news: Rc<RefCell<AnnounceableUpdates>>,
     /// Whether this node could not follow the steps that it was told, so that it has to be told all.
     wants_whole: Rc<Cell<bool>>,
-    heard_eras: Rc<HeardEras>,
+    heard_eras: Rc<ObservedEras>,
     /// The highest term under which changes of stages were announced.
     stages_term: Rc<Cell<Term>>,
     knowledge: SharedKnowledge,
@@ -78,7 +79,7 @@
             configuration_at: Rc::default(),
             configuration_news: Rc::default(),
             wants_whole: Rc::default(),
-            heard_eras: Rc::new(HeardEras::new()),
+            heard_eras: Rc::new(ObservedEras::new()),
             stages_term: Rc::default(),
             knowledge,
             configuration_shown,
@@ -193,14 +194,14 @@
     }
 
     /// Adopts what a peer has told, if it is newer than the configuration in force.
-    fn adopt_news(&self, packed: PackedNews) {
+    fn adopt_news(&self, packed: PackedUpdate) {
         let knowledge = self.knowledge.load_full();
         let base = knowledge.configuration.as_ref().map(|active| &active.configuration);
         if base.is_some_and(|base| packed.version <= base.version) {
             return;
         }
-        let unpacked = unpack::<ConfigurationNews>(&packed.bytes).map_err(|error| error.to_string());
-        let is_whole = matches!(unpacked, Ok(ConfigurationNews::Whole(_)));
+        let unpacked = unpack::<ConfigurationUpdate>(&packed.bytes).map_err(|error| error.to_string());
+        let is_whole = matches!(unpacked, Ok(ConfigurationUpdate::Whole(_)));
         match unpacked.and_then(|news| news.apply(base).map_err(|error| error.to_string())) {
             Ok(configuration) => {
                 let bytes = packed.bytes.len();
@@ -216,7 +217,7 @@
     }
 
     /// Puts a configuration in force that `news`, where there is any, leads to from the one before.
-    fn put_in_force(&self, configuration: TrafficConfiguration, news: Option<PackedNews>, source: Source) {
+    fn put_in_force(&self, configuration: TrafficConfiguration, news: Option<PackedUpdate>, source: Source) {
         let knowledge = self.knowledge.load_full();
         self.configuration_news.borrow_mut().stepped(knowledge.configuration_number(), news);
         self.wants_whole.set(false);
@@ -410,8 +411,8 @@
             return;
         };
         match answer.directory {
-            Some(DirectoryNews::Changes(changes)) => self.apply_changes(changes, confirmed_at, Source::Peer),
-            Some(DirectoryNews::Listing(listing)) => self.adopt_listing(listing, confirmed_at, Source::Peer),
+            Some(DirectoryUpdate::Changes(changes)) => self.apply_changes(changes, confirmed_at, Source::Peer),
+            Some(DirectoryUpdate::Listing(listing)) => self.adopt_listing(listing, confirmed_at, Source::Peer),
             None => {}
         }
     }
@@ -445,7 +446,7 @@
     }
 
     /// The way from `base` to the configuration in force: the steps where they are kept, else all of it.
-    fn news_since(&self, base: ConfigurationNumber) -> Vec<PackedNews> {
+    fn news_since(&self, base: ConfigurationNumber) -> Vec<PackedUpdate> {
         let knowledge = self.knowledge.load();
         let told =
             |active: &Arc<ActiveConfiguration>| self.configuration_news.borrow_mut().since(base, &active.configuration);
--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -14,7 +14,7 @@
 mod thread;
 mod transfer;
 
-pub use block_keeper::{BlockKeeperLink, BlockNews, BlockStoreLink, block_links};
+pub use block_keeper::{BlockKeeperLink, BlockStoreLink, BlockUpdate, block_links};
 pub use duties::{DutyLeaseSettings, DutySettings};
 pub use learner::{Learner, Source};
 pub use peers::PeerExchange;
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -3,14 +3,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use havengate_core::relay::ReadingTotals;
+use havengate_core::relay::PrefillTotals;
 use havengate_core::stages::{DemandCounters, DemandReport};
 use havengate_core::world::{Address, ServiceName};
 
 #[derive(Debug, Default)]
 struct OwnDemand {
     counters: DemandCounters,
-    readings_alone: ReadingTotals,
+    readings_alone: PrefillTotals,
 }
 
 /// This node's own demand. Copies share it; neither thread holds it for longer than it takes to add or copy numbers.
@@ -31,7 +31,7 @@
     }
 
     /// Sets what was seen of engines that had nothing else to read.
-    pub fn set_readings_alone(&self, totals: ReadingTotals) {
+    pub fn set_readings_alone(&self, totals: PrefillTotals) {
         self.lock().readings_alone = totals;
     }
 
--- a/crates/relay/src/engine_ends.rs
+++ b/crates/relay/src/engine_ends.rs
@@ -5,23 +5,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use havengate_core::relay::{Blamed, ContentId, EndedRun, EndsNotice, EngineEnds};
+use havengate_core::relay::{Attribution, ContentId, EngineTerminations, TerminatedRun, TerminationNotice};
 use havengate_core::time::{Timestamp, whole_millis};
 use havengate_core::world::{Address, BackEndId};
 use havengate_node::clock::Clock;
 use tokio::sync::{Notify, mpsc};
 
-use crate::control::{BlockNews, BlockStoreLink};
+use crate::control::{BlockStoreLink, BlockUpdate};
 use crate::metrics::RelayMetrics;
 
 /// The engines that ended, as all nodes have seen them. Copies share them.
 #[derive(Clone)]
-pub struct SharedEngineEnds {
+pub struct SharedEngineTerminations {
     shared: Rc<Shared>,
 }
 
 struct Shared {
-    ends: RefCell<EngineEnds>,
+    ends: RefCell<EngineTerminations>,
     clock: Clock,
     metrics: RelayMetrics,
     /// Wakes the task that tells peers.
@@ -29,16 +29,16 @@
     /// Requests that ran at an engine for this node when it ended; the newest of them.
     own: RefCell<VecDeque<ContentId>>,
     /// Takes what the store is to keep, once the node is at work.
-    store: RefCell<Option<mpsc::Sender<BlockNews>>>,
+    store: RefCell<Option<mpsc::Sender<BlockUpdate>>>,
 }
 
 /// Requests that are remembered as the node's own. The node of any of a request's ends writes it to the store.
 const OWN_MAXIMUM: usize = 256;
 
-impl SharedEngineEnds {
+impl SharedEngineTerminations {
     /// No engine has ended.
     pub fn new(clock: Clock, metrics: RelayMetrics) -> Self {
-        SharedEngineEnds {
+        SharedEngineTerminations {
             shared: Rc::new(Shared {
                 ends: RefCell::default(),
                 clock,
@@ -51,7 +51,7 @@
     }
 
     /// Notes that `back_end` ended at `at` while it did `runs` for this node; peers are told.
-    pub fn note_ended(&self, back_end: &BackEndId, runs: &[EndedRun], at: Timestamp) {
+    pub fn note_ended(&self, back_end: &BackEndId, runs: &[TerminatedRun], at: Timestamp) {
         let age_ms = whole_millis(self.shared.clock.now().since(at));
         log::warn!(event = "engine_ended", back_end:% = back_end, runs = runs.len(), age_ms; "");
         self.remember_own(runs);
@@ -61,11 +61,11 @@
     }
 
     /// Takes in what a peer tells.
-    pub fn receive(&self, notice: &EndsNotice) {
+    pub fn receive(&self, notice: &TerminationNotice) {
         self.take_in(notice, "peer");
     }
 
-    fn take_in(&self, notice: &EndsNotice, source: &'static str) {
+    fn take_in(&self, notice: &TerminationNotice, source: &'static str) {
         let blamed = self.shared.ends.borrow_mut().receive(notice, self.shared.clock.now());
         self.note_blamed(&blamed, source);
         // The sender may not have heard of an answer that cleared what it tells of.
@@ -78,7 +78,7 @@
         let served = self.shared.ends.borrow_mut().note_served(content, self.shared.clock.now());
         if let Some(blamed) = served {
             if was_blamed {
-                self.tell_store(BlockNews::Cleared(content));
+                self.tell_store(BlockUpdate::Cleared(content));
             }
             self.note_blamed(&blamed, "another_served");
             log::info!(event = "suspect_served", content:% = content; "");
@@ -121,12 +121,12 @@
     }
 
     /// What peers are to be told next.
-    pub fn notice(&self, sender: Address) -> Option<EndsNotice> {
+    pub fn notice(&self, sender: Address) -> Option<TerminationNotice> {
         self.shared.ends.borrow_mut().notice(sender, self.shared.clock.now())
     }
 
     /// What a node that has just started is told.
-    pub fn known_blame(&self, sender: Address) -> Option<EndsNotice> {
+    pub fn known_blame(&self, sender: Address) -> Option<TerminationNotice> {
         self.shared.ends.borrow().known_blame(sender, self.shared.clock.now())
     }
 
@@ -144,22 +144,22 @@
         }
     }
 
-    fn remember_own(&self, runs: &[EndedRun]) {
+    fn remember_own(&self, runs: &[TerminatedRun]) {
         let mut own = self.shared.own.borrow_mut();
         own.extend(runs.iter().map(|run| run.content));
         let beyond = own.len().saturating_sub(OWN_MAXIMUM);
         own.drain(..beyond);
     }
 
-    fn tell_store(&self, news: BlockNews) {
+    fn tell_store(&self, news: BlockUpdate) {
         let store = self.shared.store.borrow();
         if let Some(Err(error)) = store.as_ref().map(|store| store.try_send(news)) {
             log::warn!(event = "block_not_kept", error:% = error; "");
         }
     }
 
-    fn note_blamed(&self, blamed: &[Blamed], source: &'static str) {
-        for Blamed { content, ends, last } in blamed {
+    fn note_blamed(&self, blamed: &[Attribution], source: &'static str) {
+        for Attribution { content, ends, last } in blamed {
             let block_ms = self.blocked_for(*content).map_or(0, whole_millis);
             let last_end_age_ms = whole_millis(self.shared.clock.now().since(*last));
             log::warn!(event = "content_blocked", content:% = content, ends, last_end_age_ms, block_ms, source; "");
@@ -167,7 +167,7 @@
             let is_own = self.shared.own.borrow().contains(content);
             let ends = self.shared.ends.borrow().blamed_ends(*content, self.shared.clock.now());
             if let (true, Some(ends)) = (is_own, ends) {
-                self.tell_store(BlockNews::Blocked { content: *content, ends });
+                self.tell_store(BlockUpdate::Blocked { content: *content, ends });
             }
         }
     }
--- a/crates/relay/src/metrics/labels.rs
+++ b/crates/relay/src/metrics/labels.rs
@@ -65,9 +65,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NodeMessageKind {
     /// Prompts that are read.
-    Readings,
+    Prefills,
     /// What engines keep, for nodes that have just started.
-    KeptParts,
+    CachedParts,
     /// Which versions nodes have.
     Digest,
     /// Configuration and directory.
@@ -91,8 +91,8 @@
 impl NodeMessageKind {
     pub(super) fn code(self) -> &'static str {
         match self {
-            NodeMessageKind::Readings => "readings",
-            NodeMessageKind::KeptParts => "kept_parts",
+            NodeMessageKind::Prefills => "readings",
+            NodeMessageKind::CachedParts => "kept_parts",
             NodeMessageKind::Digest => "digest",
             NodeMessageKind::Feed => "feed",
             NodeMessageKind::Demand => "demand",
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -186,8 +186,8 @@
     );
     log::info!(
         event = "node_bytes_sent",
-        readings = traffic.metrics.node_bytes(NodeMessageKind::Readings),
-        kept_parts = traffic.metrics.node_bytes(NodeMessageKind::KeptParts),
+        readings = traffic.metrics.node_bytes(NodeMessageKind::Prefills),
+        kept_parts = traffic.metrics.node_bytes(NodeMessageKind::CachedParts),
         digests = traffic.metrics.node_bytes(NodeMessageKind::Digest),
         feeds = traffic.metrics.node_bytes(NodeMessageKind::Feed),
         demand = traffic.metrics.node_bytes(NodeMessageKind::Demand),
--- a/crates/relay/src/protocol.rs
+++ b/crates/relay/src/protocol.rs
@@ -10,7 +10,7 @@
 use havengate_core::duties::fleet::{FleetBaseline, FleetOrder};
 use havengate_core::duties::usage::{LedgerWrite, UsageLedger, UsageReport};
 use havengate_core::duties::{DutyAnswer, LeaseRecord, LeaseWrite};
-use havengate_core::relay::{ContentId, Prompt, PromptPart, ToldEnd, Urgency};
+use havengate_core::relay::{ContentId, Prompt, PromptPart, ReportedTermination, Urgency};
 use havengate_core::routing::{PresentedKey, TrafficConfiguration};
 use havengate_core::stages::OrderAnswer;
 use havengate_core::store::{ObjectVersion, Position, Revision};
@@ -191,7 +191,7 @@
     /// the store has forgotten the history after the revision
     HistoryGone,
     /// the answer is from before the store went back to an older copy
-    FormerEra,
+    PreviousEra,
     /// the store's answer can't be understood: {0}
     Malformed(String),
 }
@@ -240,7 +240,7 @@
     /// When it was written, in milliseconds since 1970 by the writer's time of day.
     pub written_millis: u64,
     /// The engines that ended under it; their ages are those at the time of writing.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<ReportedTermination>,
 }
 
 /// How a conditional write ended.
--- a/crates/relay/src/readings/limits.rs
+++ b/crates/relay/src/readings/limits.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use havengate_core::back_ends::{LimitNotice, SharingNodes, ToldLimit};
-use havengate_core::relay::ReadingsMessage;
+use havengate_core::back_ends::{AnnouncedLimit, LimitNotice, SharingNodes};
+use havengate_core::relay::PeerNotice;
 use havengate_core::world::Address;
 use tokio::time::sleep;
 
-use super::Readings;
+use super::PeerNotices;
 use crate::metrics::NodeMessageKind;
 
 /// The pause between two notices of limits: what is heard meanwhile is told together.
@@ -18,7 +18,7 @@
 /// nothing that it could answer.
 const LIMITS_AGAIN_PAUSE: Duration = Duration::from_secs(1);
 
-impl Readings {
+impl PeerNotices {
     /// Takes over which nodes share the limits, and forgets those that nobody has heard of for long.
     pub(super) fn share_limits(&self) {
         let knowledge = self.shared.knowledge.load();
@@ -32,7 +32,7 @@
     /// Takes in which limits back ends named to a peer.
     pub(super) fn learn_limits(&self, notice: LimitNotice) {
         let news = self.shared.notices.lock().limits.receive(notice, self.shared.clock.now());
-        for ToldLimit { back_end, limit, .. } in news {
+        for AnnouncedLimit { back_end, limit, .. } in news {
             match limit {
                 Some(limit) => {
                     self.shared.metrics.record_notice("limits");
@@ -71,9 +71,9 @@
         self.send_limits(told, &[receiver]).await;
     }
 
-    async fn send_limits(&self, limits: Vec<ToldLimit>, receivers: &[Address]) {
+    async fn send_limits(&self, limits: Vec<AnnouncedLimit>, receivers: &[Address]) {
         if let Some(sender) = self.sender().filter(|_| !limits.is_empty()) {
-            let notice = ReadingsMessage::Limits(LimitNotice { sender, limits });
+            let notice = PeerNotice::Limits(LimitNotice { sender, limits });
             self.send(&notice, NodeMessageKind::Limits, receivers).await;
         }
     }
--- a/crates/relay/src/readings/mod.rs
+++ b/crates/relay/src/readings/mod.rs
@@ -11,8 +11,8 @@
 
 use havengate_core::back_ends::BackEnd;
 use havengate_core::relay::{
-    EngineModel, EngineTag, KeptParts, Prompt, PromptIndex, PromptIndexConfig, PromptPart, ReadingId, ReadingsMessage,
-    Suspicions, TellingPaceConfig, ToldPart, Urgency,
+    AnnouncedPart, AnnouncementPaceConfig, CachedParts, EngineModel, EngineTag, PeerNotice, PrefillId, Prompt,
+    PromptIndex, PromptIndexConfig, PromptPart, Suspicions, Urgency,
 };
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, BackEndId};
@@ -22,7 +22,7 @@
 use self::untold::Untold;
 use crate::back_ends::SharedNotices;
 use crate::datagrams::Datagrams;
-use crate::engine_ends::SharedEngineEnds;
+use crate::engine_ends::SharedEngineTerminations;
 use crate::knowledge::SharedKnowledge;
 use crate::metrics::{NodeMessageKind, RelayMetrics};
 
@@ -31,7 +31,7 @@
 
 /// The readings that this node and its peers know of. Copies share them.
 #[derive(Clone)]
-pub struct Readings {
+pub struct PeerNotices {
     shared: Rc<Shared>,
 }
 
@@ -50,7 +50,7 @@
     suspicions: RefCell<Suspicions>,
     /// Wakes the task that tells peers of back ends that could not be reached.
     unreachable: Notify,
-    engine_ends: SharedEngineEnds,
+    engine_ends: SharedEngineTerminations,
     notices: SharedNotices,
     /// Back ends that told this node that they leave, and of which peers are still to be told.
     leaving: Untold,
@@ -58,11 +58,11 @@
     limits: Untold,
 }
 
-impl Readings {
+impl PeerNotices {
     /// Readings that are not exchanged with peers yet.
     pub fn new(knowledge: SharedKnowledge, notices: SharedNotices, clock: Clock, metrics: RelayMetrics) -> Self {
         let index = RefCell::new(PromptIndex::new(PromptIndexConfig::default()));
-        Readings {
+        PeerNotices {
             shared: Rc::new(Shared {
                 index,
                 knowledge,
@@ -74,7 +74,7 @@
                 news: Notify::new(),
                 suspicions: RefCell::default(),
                 unreachable: Notify::new(),
-                engine_ends: SharedEngineEnds::new(clock, metrics),
+                engine_ends: SharedEngineTerminations::new(clock, metrics),
                 notices,
                 leaving: Untold::default(),
                 limits: Untold::default(),
@@ -89,7 +89,7 @@
     pub async fn exchange(&self, address: Address) -> io::Result<()> {
         let datagrams = Datagrams::bind(address, self.shared.metrics.clone()).await?;
         *self.shared.exchange.borrow_mut() = Some((address, datagrams.clone()));
-        tokio::task::spawn_local(self.clone().tell_at_pace(TellingPaceConfig::default()));
+        tokio::task::spawn_local(self.clone().tell_at_pace(AnnouncementPaceConfig::default()));
         tokio::task::spawn_local(self.clone().tell_unreachable());
         tokio::task::spawn_local(self.clone().tell_ends());
         tokio::task::spawn_local(self.clone().tell_blame_again());
@@ -111,8 +111,7 @@
         let Some(sender) = self.sender() else {
             return;
         };
-        self.send(&ReadingsMessage::AskKept { sender }, NodeMessageKind::KeptParts, &self.some_peers(PEERS_ASKED))
-            .await;
+        self.send(&PeerNotice::AskKept { sender }, NodeMessageKind::CachedParts, &self.some_peers(PEERS_ASKED)).await;
     }
 
     /// Whether anything is known of what engines keep.
@@ -122,13 +121,13 @@
 
     /// Takes in what an engine itself tells that it keeps.
     pub fn engine_keeps(&self, engine: &BackEndId, parts: Vec<PromptPart>) {
-        let told = parts.into_iter().map(|part| ToldPart { part, brought_since: 0 });
-        let kept = KeptParts { engine: engine.clone(), parts: told.collect() };
+        let told = parts.into_iter().map(|part| AnnouncedPart { part, brought_since: 0 });
+        let kept = CachedParts { engine: engine.clone(), parts: told.collect() };
         self.shared.index.borrow_mut().adopt_kept(kept, self.shared.clock.now());
     }
 
     /// Sends a message and returns the bytes that went out; none before the node takes part in the exchange.
-    async fn send(&self, message: &ReadingsMessage, kind: NodeMessageKind, receivers: &[Address]) -> usize {
+    async fn send(&self, message: &PeerNotice, kind: NodeMessageKind, receivers: &[Address]) -> usize {
         let datagrams = self.shared.exchange.borrow().as_ref().map(|(_, datagrams)| datagrams.clone());
         match datagrams {
             Some(datagrams) => datagrams.send(message, kind, receivers).await,
@@ -147,13 +146,13 @@
     }
 
     /// Notes that `engine` begins to read `prompt`, until the guard is ended or dropped.
-    pub fn begin(&self, engine: &BackEnd, prompt: &Prompt, urgency: Urgency) -> ReadingGuard {
+    pub fn begin(&self, engine: &BackEnd, prompt: &Prompt, urgency: Urgency) -> PrefillGuard {
         let now = self.shared.clock.now();
         let mut index = self.shared.index.borrow_mut();
         let id = index.begin(engine, prompt, urgency, now);
         drop(index);
         self.note_news();
-        ReadingGuard { readings: self.clone(), id: Some(id) }
+        PrefillGuard { readings: self.clone(), id: Some(id) }
     }
 
     /// Notes that `engine` has got the KV cache of `prompt` from another one and began its answer `took` after it was
@@ -196,7 +195,7 @@
     }
 
     /// The engines that ended while they ran requests.
-    pub fn engine_ends(&self) -> &SharedEngineEnds {
+    pub fn engine_ends(&self) -> &SharedEngineTerminations {
         &self.shared.engine_ends
     }
 
@@ -226,12 +225,12 @@
 }
 
 /// A prompt that is being read.
-pub struct ReadingGuard {
-    readings: Readings,
-    id: Option<ReadingId>,
+pub struct PrefillGuard {
+    readings: PeerNotices,
+    id: Option<PrefillId>,
 }
 
-impl ReadingGuard {
+impl PrefillGuard {
     /// Notes that the reading has ended, and whether the engine has read all of the prompt.
     pub fn end(mut self, whole: bool) {
         self.note_end(whole);
@@ -248,7 +247,7 @@
     }
 }
 
-impl Drop for ReadingGuard {
+impl Drop for PrefillGuard {
     fn drop(&mut self) {
         self.note_end(false);
     }
--- a/crates/relay/src/readings/telling.rs
+++ b/crates/relay/src/readings/telling.rs
@@ -3,14 +3,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use havengate_core::back_ends::{LeavingNotice, LimitNotice, ToldLeaving};
+use havengate_core::back_ends::{DrainNotice, DrainingBackEnd, LimitNotice};
 use havengate_core::relay::{
-    EndsNotice, KeptParts, ReadingsMessage, ReadingsNotice, TellingPace, TellingPaceConfig, UnreachableNotice,
+    AnnouncementPace, AnnouncementPaceConfig, CachedParts, PeerNotice, PrefillNotice, TerminationNotice,
+    UnreachableNotice,
 };
 use havengate_core::world::Address;
 use tokio::time::{sleep, timeout};
 
-use super::Readings;
+use super::PeerNotices;
 use crate::metrics::NodeMessageKind;
 
 /// The peers that are told of each reading: all, up to the size that is designed for. Long prompts are few, and a node
@@ -45,42 +46,42 @@
 /// How long a finished reading waits at most to be told once more.
 const REPEAT_PAUSE: Duration = Duration::from_millis(200);
 
-impl Readings {
+impl PeerNotices {
     /// Takes in what a peer tells.
-    pub(super) async fn receive(&self, message: ReadingsMessage) {
+    pub(super) async fn receive(&self, message: PeerNotice) {
         let now = self.shared.clock.now();
         match message {
-            ReadingsMessage::Notice(ReadingsNotice { sender, .. })
-            | ReadingsMessage::Unreachable(UnreachableNotice { sender, .. })
-            | ReadingsMessage::Ends(EndsNotice { sender, .. })
-            | ReadingsMessage::Leaving(LeavingNotice { sender, .. })
-            | ReadingsMessage::Limits(LimitNotice { sender, .. })
+            PeerNotice::Notice(PrefillNotice { sender, .. })
+            | PeerNotice::Unreachable(UnreachableNotice { sender, .. })
+            | PeerNotice::Ends(TerminationNotice { sender, .. })
+            | PeerNotice::Leaving(DrainNotice { sender, .. })
+            | PeerNotice::Limits(LimitNotice { sender, .. })
                 if !self.shared.knowledge.load().peers.contains(&sender) =>
             {
                 self.shared.metrics.record_dropped_message("unknown_sender");
             }
-            ReadingsMessage::Notice(notice) => {
+            PeerNotice::Notice(notice) => {
                 if !self.shared.index.borrow_mut().receive(notice, now) {
                     self.shared.metrics.record_dropped_message("overtaken");
                 }
             }
-            ReadingsMessage::Unreachable(notice) => self.shared.suspicions.borrow_mut().receive(&notice, now),
-            ReadingsMessage::Ends(notice) => self.shared.engine_ends.receive(&notice),
-            ReadingsMessage::Leaving(notice) => self.learn_leaving(&notice),
-            ReadingsMessage::Limits(notice) => self.learn_limits(notice),
-            ReadingsMessage::AskKept { sender } => {
+            PeerNotice::Unreachable(notice) => self.shared.suspicions.borrow_mut().receive(&notice, now),
+            PeerNotice::Ends(notice) => self.shared.engine_ends.receive(&notice),
+            PeerNotice::Leaving(notice) => self.learn_leaving(&notice),
+            PeerNotice::Limits(notice) => self.learn_limits(notice),
+            PeerNotice::AskKept { sender } => {
                 self.tell_blame(sender).await;
                 let leaving = self.shared.notices.lock().newest(now);
                 self.send_leaving(leaving, &[sender]).await;
                 self.tell_some_limits(sender).await;
                 let knowledge = self.shared.knowledge.load_full();
                 let engines = knowledge.directory.entries().map(|entry| &entry.back_end.id);
-                let kept: Vec<KeptParts> = self.shared.index.borrow().kept_parts(engines, KEPT_PARTS_TOLD).collect();
+                let kept: Vec<CachedParts> = self.shared.index.borrow().kept_parts(engines, KEPT_PARTS_TOLD).collect();
                 for kept in kept {
-                    self.send(&ReadingsMessage::Kept(kept), NodeMessageKind::KeptParts, &[sender]).await;
+                    self.send(&PeerNotice::Kept(kept), NodeMessageKind::CachedParts, &[sender]).await;
                 }
             }
-            ReadingsMessage::Kept(kept) => {
+            PeerNotice::Kept(kept) => {
                 let (engine, parts) = (kept.engine.clone(), kept.parts.len());
                 log::debug!(event = "kept_parts_told", back_end:% = engine, parts; "");
                 self.shared.index.borrow_mut().adopt_kept(kept, now);
@@ -98,7 +99,7 @@
                 continue;
             };
             let peers = Arc::clone(&self.shared.knowledge.load().peers);
-            let notice = ReadingsMessage::Unreachable(UnreachableNotice { sender, back_ends });
+            let notice = PeerNotice::Unreachable(UnreachableNotice { sender, back_ends });
             self.send(&notice, NodeMessageKind::Unreachable, &peers).await;
             sleep(UNREACHABLE_PAUSE).await;
         }
@@ -110,7 +111,7 @@
             self.shared.engine_ends.wait_for_news().await;
             if let Some(notice) = self.sender().and_then(|sender| self.shared.engine_ends.notice(sender)) {
                 let peers = Arc::clone(&self.shared.knowledge.load().peers);
-                self.send(&ReadingsMessage::Ends(notice), NodeMessageKind::Ends, &peers).await;
+                self.send(&PeerNotice::Ends(notice), NodeMessageKind::Ends, &peers).await;
             }
             sleep(ENDS_PAUSE).await;
         }
@@ -139,12 +140,12 @@
     async fn tell_blame(&self, receiver: Address) {
         let notice = self.sender().and_then(|sender| self.shared.engine_ends.known_blame(sender));
         if let Some(notice) = notice {
-            self.send(&ReadingsMessage::Ends(notice), NodeMessageKind::Ends, &[receiver]).await;
+            self.send(&PeerNotice::Ends(notice), NodeMessageKind::Ends, &[receiver]).await;
         }
     }
 
     /// Takes in which back ends told a peer that they leave.
-    fn learn_leaving(&self, notice: &LeavingNotice) {
+    fn learn_leaving(&self, notice: &DrainNotice) {
         let news = self.shared.notices.lock().receive(notice, self.shared.clock.now());
         for back_end in news {
             self.shared.metrics.record_notice("leaves");
@@ -156,7 +157,7 @@
     /// nodes most have sent such a back end nothing lately that it could have answered.
     pub(super) async fn tell_leaving(self) {
         loop {
-            let untold = self.shared.leaving.take(LeavingNotice::BACK_ENDS_MAXIMUM).await;
+            let untold = self.shared.leaving.take(DrainNotice::BACK_ENDS_MAXIMUM).await;
             let told = self.shared.notices.lock().told(&untold, self.shared.clock.now());
             let peers = Arc::clone(&self.shared.knowledge.load().peers);
             self.send_leaving(told, &peers).await;
@@ -174,16 +175,16 @@
         }
     }
 
-    async fn send_leaving(&self, back_ends: Vec<ToldLeaving>, receivers: &[Address]) {
+    async fn send_leaving(&self, back_ends: Vec<DrainingBackEnd>, receivers: &[Address]) {
         if let Some(sender) = self.sender().filter(|_| !back_ends.is_empty()) {
-            let notice = ReadingsMessage::Leaving(LeavingNotice { sender, back_ends });
+            let notice = PeerNotice::Leaving(DrainNotice { sender, back_ends });
             self.send(&notice, NodeMessageKind::Leaving, receivers).await;
         }
     }
 
     /// Tells peers of news for ever: at once while that is cheap, else together and as often as the pace allows.
-    pub(super) async fn tell_at_pace(self, config: TellingPaceConfig) {
-        let mut pace = TellingPace::new(config, self.shared.clock.now());
+    pub(super) async fn tell_at_pace(self, config: AnnouncementPaceConfig) {
+        let mut pace = AnnouncementPace::new(config, self.shared.clock.now());
         loop {
             while !self.shared.has_news.get() && !self.shared.index.borrow().has_untold() {
                 self.shared.news.notified().await;
@@ -211,6 +212,6 @@
         let notice = self.shared.index.borrow_mut().notice(sender, sequence, self.shared.clock.now());
         let knowledge = self.shared.knowledge.load_full();
         let receivers = &knowledge.peers[..knowledge.peers.len().min(PEERS_TOLD_MAXIMUM)];
-        self.send(&ReadingsMessage::Notice(notice), NodeMessageKind::Readings, receivers).await
+        self.send(&PeerNotice::Notice(notice), NodeMessageKind::Prefills, receivers).await
     }
 }
--- a/crates/relay/tests/readings.rs
+++ b/crates/relay/tests/readings.rs
@@ -6,13 +6,13 @@
 
 use arc_swap::ArcSwap;
 use havengate_core::back_ends::{BackEnd, BackEndState, EngineStage};
-use havengate_core::relay::{ContentId, EndedRun, Prompt, PromptPart, Urgency};
+use havengate_core::relay::{ContentId, Prompt, PromptPart, TerminatedRun, Urgency};
 use havengate_core::world::{Address, BackEndId};
 use havengate_node::clock::Clock;
 use havengate_relay::back_ends::SharedNotices;
 use havengate_relay::knowledge::{Knowledge, SharedKnowledge};
 use havengate_relay::metrics::RelayMetrics;
-use havengate_relay::readings::Readings;
+use havengate_relay::readings::PeerNotices;
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
@@ -24,7 +24,7 @@
     address: Address,
     knowledge: SharedKnowledge,
     metrics: RelayMetrics,
-    readings: Readings,
+    readings: PeerNotices,
     clock: Clock,
 }
 
@@ -33,7 +33,7 @@
         let metrics = RelayMetrics::new();
         let knowledge: SharedKnowledge = Arc::new(ArcSwap::from_pointee(Knowledge::nothing()));
         let clock = Clock::start();
-        let readings = Readings::new(Arc::clone(&knowledge), SharedNotices::default(), clock, metrics.clone());
+        let readings = PeerNotices::new(Arc::clone(&knowledge), SharedNotices::default(), clock, metrics.clone());
         let mut address = free_address();
         // Another process may take the port between the two.
         while readings.exchange(address).await.is_err() {
@@ -154,7 +154,7 @@
         let ends = |node: &Node, engines: u32| {
             for number in 0..engines {
                 let sent_at = node.clock.now();
-                let runs = [EndedRun { content: popular, sent_at }];
+                let runs = [TerminatedRun { content: popular, sent_at }];
                 let engine = BackEndId::new(format!("ended-{number}"));
                 node.readings.engine_ends().note_ended(&engine, &runs, node.clock.now());
             }
--- a/crates/relay/tests/store_eras.rs
+++ b/crates/relay/tests/store_eras.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use havengate_core::back_ends::{DirectoryChanges, DirectoryListing, DirectoryNews};
+use havengate_core::back_ends::{DirectoryChanges, DirectoryListing, DirectoryUpdate};
 use havengate_core::replication::PullAnswer;
 use havengate_core::store::{Position, Revision, StoreEra};
 use havengate_core::world::Address;
@@ -87,12 +87,12 @@
     let (node, former_build) = (node_at(3, 510), node_at(0, 500));
     node.set_configuration_at(position(3, 505));
     let answer = node.answer(former_build.pull_of_directory(Duration::ZERO), Duration::ZERO);
-    assert_eq!((answer.directory.as_ref().map(DirectoryNews::position), answer.newest_at), {
+    assert_eq!((answer.directory.as_ref().map(DirectoryUpdate::position), answer.newest_at), {
         (Some(position(0, 510)), Some(position(0, 505)))
     });
     list(&node, 4, 600);
     let answer = node.answer(former_build.pull_of_directory(Duration::ZERO), Duration::ZERO);
-    assert!(matches!(answer.directory, Some(DirectoryNews::Listing(_))), "changes may not lead on from its own");
+    assert!(matches!(answer.directory, Some(DirectoryUpdate::Listing(_))), "changes may not lead on from its own");
     assert_eq!(answer.newest_at, None, "a watch from there may miss what it lacks");
 }
 
@@ -107,7 +107,7 @@
 fn a_listing_of_the_store_that_was_asked_for_before_a_peer_told_more_is_only_late() {
     let node = node_at(3, 500);
     let asked_from = position(3, 500);
-    let news = DirectoryNews::Changes(DirectoryChanges { position: position(3, 520), changes: Vec::new() });
+    let news = DirectoryUpdate::Changes(DirectoryChanges { position: position(3, 520), changes: Vec::new() });
     node.learn(told(&node, news), node.clock().now());
     let late = DirectoryListing { position: position(3, 510), ..DirectoryListing::default() };
     node.adopt_own_listing(late, asked_from, node.clock().now());
@@ -118,7 +118,7 @@
 }
 
 /// An answer with these news, confirmed just now.
-fn told(node: &Learner, news: DirectoryNews) -> PullAnswer {
+fn told(node: &Learner, news: DirectoryUpdate) -> PullAnswer {
     let confirmed = node.answer(node.pull_of_directory(Duration::ZERO), Duration::ZERO);
     PullAnswer { directory: Some(news), ..confirmed }
 }
--- a/crates/relay/tests/transfer.rs
+++ b/crates/relay/tests/transfer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use havengate_core::replication::PackedNews;
+use havengate_core::replication::PackedUpdate;
 use havengate_core::routing::ConfigurationNumber;
 use havengate_relay::control::{Patience, PeersError, Progress, read_message};
 use havengate_wire::{LENGTH_BYTES, frame_of};
@@ -18,8 +18,8 @@
 const PATIENT: Patience =
     Patience { first: Duration::from_secs(2), silence: Duration::from_secs(2), whole: Duration::from_secs(60) };
 
-fn message() -> PackedNews {
-    PackedNews { version: ConfigurationNumber(7), bytes: vec![5; 50_000] }
+fn message() -> PackedUpdate {
+    PackedUpdate { version: ConfigurationNumber(7), bytes: vec![5; 50_000] }
 }
 
 async fn connection() -> (TcpStream, TcpStream) {
@@ -44,7 +44,7 @@
                 sleep(PAUSE).await;
             }
         };
-        let (read, ()) = tokio::join!(read_message::<PackedNews>(&mut receiver, PATIENT), send);
+        let (read, ()) = tokio::join!(read_message::<PackedUpdate>(&mut receiver, PATIENT), send);
         assert_eq!(read.expect("it is whole"), message());
     });
 }
@@ -56,7 +56,7 @@
         let frame = frame_of(&message()).expect("it fits a frame");
         sender.write_all(&frame[..LENGTH_BYTES + 1_000]).await.expect("the receiver reads");
         let patience = Patience { silence: Duration::from_millis(200), ..PATIENT };
-        let error = read_message::<PackedNews>(&mut receiver, patience).await.expect_err("it never comes whole");
+        let error = read_message::<PackedUpdate>(&mut receiver, patience).await.expect_err("it never comes whole");
         let progress = Progress { passed: 1_000, whole: Some(frame.len() - LENGTH_BYTES) };
         assert!(matches!(error, PeersError::TooSlow(told) if told == progress), "{error}");
     });
@@ -78,7 +78,7 @@
             }
         };
         tokio::select! {
-            read = read_message::<PackedNews>(&mut receiver, patience) => {
+            read = read_message::<PackedUpdate>(&mut receiver, patience) => {
                 assert!(matches!(read, Err(PeersError::TooSlow(_))));
             }
             () = trickle => panic!("the whole message was read"),
--- a/crates/relay/tests/wire_layout.rs
+++ b/crates/relay/tests/wire_layout.rs
@@ -10,8 +10,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use havengate_core::back_ends::LeavingNotice;
-use havengate_core::relay::{EndsNotice, KeptParts, ReadingsMessage, ReadingsNotice, UnreachableNotice};
+use havengate_core::back_ends::DrainNotice;
+use havengate_core::relay::{CachedParts, PeerNotice, PrefillNotice, TerminationNotice, UnreachableNotice};
 use havengate_core::replication::{PeerMessage, Pull, PullAnswer};
 use havengate_core::world::Address;
 use havengate_wire::decode;
@@ -76,15 +76,15 @@
     }
 }
 
-/// [`ReadingsMessage`] as the builds before the news of limits know it.
+/// [`PeerNotice`] as the builds before the news of limits know it.
 #[derive(Debug, PartialEq, Readable, Writable)]
 enum FormerReadingsMessage {
-    Notice(ReadingsNotice),
+    Notice(PrefillNotice),
     AskKept { sender: Address },
-    Kept(KeptParts),
+    Kept(CachedParts),
     Unreachable(UnreachableNotice),
-    Ends(EndsNotice),
-    Leaving(LeavingNotice),
+    Ends(TerminationNotice),
+    Leaving(DrainNotice),
 }
 
 #[test]
@@ -106,7 +106,7 @@
     for kind in unknown_kinds {
         let mut bytes = kind.to_le_bytes().to_vec();
         bytes.extend([0; 60]);
-        assert!(decode::<ReadingsMessage>(&bytes).is_err(), "readings, kind {kind}");
+        assert!(decode::<PeerNotice>(&bytes).is_err(), "readings, kind {kind}");
         assert!(decode::<PeerMessage>(&bytes).is_err(), "peer, kind {kind}");
     }
     for sample in samples() {
@@ -115,7 +115,7 @@
         assert!(!(sample.is_read_from)(&[]), "{} empty", sample.name);
     }
     let noise = vec![0xa7; 64 * 1024];
-    assert!(decode::<ReadingsMessage>(&noise).is_err());
+    assert!(decode::<PeerNotice>(&noise).is_err());
     assert!(decode::<PeerMessage>(&noise).is_err());
     assert!(decode::<PullAnswer>(&noise).is_err());
     assert!(decode::<Pull>(&[]).is_err());
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -2,16 +2,16 @@
 
 use havengate_core::authority::Term;
 use havengate_core::back_ends::{
-    BackEnd, BackEndState, DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryNews, EngineStage,
-    LeavingNotice, LimitNotice, RequestRate, ToldLeaving, ToldLimit,
+    AnnouncedLimit, BackEnd, BackEndState, DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate,
+    DrainNotice, DrainingBackEnd, EngineStage, LimitNotice, RequestRate,
 };
 use havengate_core::duties::usage::{UsageCountsMessage, WindowNumber};
 use havengate_core::relay::{
-    ContentId, EndsNotice, EngineTag, FinishedReading, KeptParts, OpenReadings, PromptPart, ReadingTotals,
-    ReadingsMessage, ReadingsNotice, ServedContent, ToldEnd, ToldPart, ToldRun, UnreachableNotice,
+    AnnouncedPart, CachedParts, ContentId, EngineTag, FinishedPrefill, OpenPrefills, PeerNotice, PrefillNotice,
+    PrefillTotals, PromptPart, ReportedRun, ReportedTermination, ServedContent, TerminationNotice, UnreachableNotice,
 };
 use havengate_core::replication::{
-    ConfigurationChanges, ConfigurationNews, Digest, KnowledgeAges, PackedNews, PeerAddresses, PeerMessage, Pull,
+    ConfigurationChanges, ConfigurationUpdate, Digest, KnowledgeAges, PackedUpdate, PeerAddresses, PeerMessage, Pull,
     PullAnswer, StageNotice,
 };
 use havengate_core::routing::{
@@ -60,9 +60,9 @@
         sample("pull.all", Pull { configuration: Some(ConfigurationNumber(0)), ..pull() }),
         sample("pull.directory", pull()),
         sample("answer.nothing", PullAnswer::default()),
-        sample("answer.changes", answer(DirectoryNews::Changes(changes()))),
-        sample("answer.listing", answer(DirectoryNews::Listing(listing()))),
-        sample("news.whole", ConfigurationNews::Whole(configuration(9))),
+        sample("answer.changes", answer(DirectoryUpdate::Changes(changes()))),
+        sample("answer.listing", answer(DirectoryUpdate::Listing(listing()))),
+        sample("news.whole", ConfigurationUpdate::Whole(configuration(9))),
         sample("news.changes", news_of_changes()),
     ];
     samples.extend(readings());
@@ -72,38 +72,35 @@
 fn readings() -> Vec<Sample> {
     let sender = address(1);
     let part = PromptPart { id: 0x1122_3344_5566, tokens: 13_300 };
-    let notice = ReadingsNotice {
+    let notice = PrefillNotice {
         sender,
         sequence: 77,
-        open: vec![OpenReadings { engine: tag(3), tokens: 4_000, late_tokens: 120, age_millis: 35 }],
+        open: vec![OpenPrefills { engine: tag(3), tokens: 4_000, late_tokens: 120, age_millis: 35 }],
         first_finished: 12,
-        finished: vec![FinishedReading { engine: tag(4), shared_parts: vec![part], tokens: 17_000 }],
+        finished: vec![FinishedPrefill { engine: tag(4), shared_parts: vec![part], tokens: 17_000 }],
     };
-    let kept = KeptParts { engine: life(), parts: vec![ToldPart { part, brought_since: 5 }] };
-    let run = ToldRun { content: content(), ran_micros: 900 };
-    let ends = EndsNotice {
+    let kept = CachedParts { engine: life(), parts: vec![AnnouncedPart { part, brought_since: 5 }] };
+    let run = ReportedRun { content: content(), ran_micros: 900 };
+    let ends = TerminationNotice {
         sender,
-        ends: vec![ToldEnd { engine: tag(5), age_micros: 1_000, runs: vec![run] }],
+        ends: vec![ReportedTermination { engine: tag(5), age_micros: 1_000, runs: vec![run] }],
         served: vec![ServedContent { content: content(), age_micros: 2_000 }],
     };
-    let leaving = ToldLeaving { back_end: life(), age_millis: 250 };
-    let limit = |limit| ToldLimit { back_end: life(), limit, age_millis: 250 };
+    let leaving = DrainingBackEnd { back_end: life(), age_millis: 250 };
+    let limit = |limit| AnnouncedLimit { back_end: life(), limit, age_millis: 250 };
     vec![
-        sample("readings.notice", ReadingsMessage::Notice(notice)),
-        sample("readings.ask_kept", ReadingsMessage::AskKept { sender }),
-        sample("readings.kept", ReadingsMessage::Kept(kept)),
+        sample("readings.notice", PeerNotice::Notice(notice)),
+        sample("readings.ask_kept", PeerNotice::AskKept { sender }),
+        sample("readings.kept", PeerNotice::Kept(kept)),
         sample(
             "readings.unreachable",
-            ReadingsMessage::Unreachable(UnreachableNotice { sender, back_ends: vec![(tag(6), 90)] }),
+            PeerNotice::Unreachable(UnreachableNotice { sender, back_ends: vec![(tag(6), 90)] }),
         ),
-        sample("readings.ends", ReadingsMessage::Ends(ends)),
-        sample("readings.leaving", ReadingsMessage::Leaving(LeavingNotice { sender, back_ends: vec![leaving] })),
+        sample("readings.ends", PeerNotice::Ends(ends)),
+        sample("readings.leaving", PeerNotice::Leaving(DrainNotice { sender, back_ends: vec![leaving] })),
         sample(
             "readings.limits",
-            ReadingsMessage::Limits(LimitNotice {
-                sender,
-                limits: vec![limit(RequestRate::per_second(3.3)), limit(None)],
-            }),
+            PeerNotice::Limits(LimitNotice { sender, limits: vec![limit(RequestRate::per_second(3.3)), limit(None)] }),
         ),
     ]
 }
@@ -142,7 +139,7 @@
         sender: address(1),
         life: 42,
         services: vec![(ServiceName::new("model"), ServiceDemand { read_tokens: 70_000, answer_millis: 3_100 })],
-        readings_alone: ReadingTotals { tokens: 17_000, micros: 250_000 },
+        readings_alone: PrefillTotals { tokens: 17_000, micros: 250_000 },
     }
 }
 
@@ -167,11 +164,11 @@
     Pull { configuration: None, directory: Position::from(Revision(1_234)), wait_millis: 400 }
 }
 
-fn answer(directory: DirectoryNews) -> PullAnswer {
+fn answer(directory: DirectoryUpdate) -> PullAnswer {
     PullAnswer {
         newest: ConfigurationNumber(9),
         newest_at: Some(Position::from(Revision(1_200))),
-        configuration: vec![PackedNews { version: ConfigurationNumber(9), bytes: vec![1, 2, 3] }],
+        configuration: vec![PackedUpdate { version: ConfigurationNumber(9), bytes: vec![1, 2, 3] }],
         directory: Some(directory),
         ages: KnowledgeAges {
             configuration_millis: Some(10),
@@ -265,7 +262,7 @@
     }
 }
 
-fn news_of_changes() -> ConfigurationNews {
+fn news_of_changes() -> ConfigurationUpdate {
     let changes = ConfigurationChanges::between(&configuration(8), &configuration(9));
-    ConfigurationNews::Changes(changes.expect("they can be fingerprinted"))
+    ConfigurationUpdate::Changes(changes.expect("they can be fingerprinted"))
 }
