--- a/crates/core/src/replication/configuration_news.rs
+++ b/crates/core/src/replication/configuration_update.rs
@@ -30,7 +30,7 @@
 #[allow(clippy::large_enum_variant, reason = "there is one at a time")]
 pub enum ConfigurationUpdate {
     /// All of it.
-    Whole(TrafficConfiguration),
+    Full(TrafficConfiguration),
     /// What is new in it.
     Changes(ConfigurationChanges),
 }
@@ -42,7 +42,7 @@
     /// When these are changes of another configuration.
     pub fn apply(self, base: Option<&TrafficConfiguration>) -> Result<TrafficConfiguration, InvalidUpdate> {
         match self {
-            ConfigurationUpdate::Whole(configuration) => Ok(configuration),
+            ConfigurationUpdate::Full(configuration) => Ok(configuration),
             ConfigurationUpdate::Changes(changes) => changes.apply(base.ok_or(InvalidUpdate::AnotherBase)?),
         }
     }
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -4,7 +4,7 @@
 
 use speedy::{Readable, Writable};
 
-use super::configuration_news::PackedUpdate;
+use super::configuration_update::PackedUpdate;
 use crate::authority::Term;
 use crate::back_ends::{DirectoryUpdate, EngineStage};
 use crate::duties::usage::UsageCountsMessage;
--- a/crates/core/src/replication/peer_table.rs
+++ b/crates/core/src/replication/peer_table.rs
@@ -24,7 +24,7 @@
     /// A peer that was not heard from for this time is forgotten; longer than the window of the retry budget.
     pub forgotten: Duration,
     /// The nodes that a node assumes until it has had time to hear of them: its part of what is shared is then small.
-    pub nodes_assumed: u32,
+    pub assumed_nodes: u32,
     /// The time in which all nodes are heard of, a few rounds of digests.
     pub settling: Duration,
 }
@@ -37,7 +37,7 @@
             fresh: Duration::from_secs(2),
             recent: Duration::from_secs(10),
             forgotten: Duration::from_secs(25),
-            nodes_assumed: 16,
+            assumed_nodes: 16,
             settling: Duration::from_secs(3),
         }
     }
@@ -97,7 +97,7 @@
     /// are assumed while the node has just started.
     pub fn nodes(&self, now: Timestamp) -> u32 {
         let known = u32::try_from(self.peers.len()).unwrap_or(u32::MAX).saturating_add(1);
-        if now.since(self.started_at) < self.config.settling { known.max(self.config.nodes_assumed) } else { known }
+        if now.since(self.started_at) < self.config.settling { known.max(self.config.assumed_nodes) } else { known }
     }
 
     /// The peers that were heard from lately.
--- a/crates/core/src/replication/readers.rs
+++ b/crates/core/src/replication/readers.rs
@@ -23,7 +23,7 @@
     /// One more reader for so many nodes: each feeds some of them.
     pub nodes_per_reader: usize,
     /// The readers that feed a node. One may be cut off from the store without a word.
-    pub feeds: usize,
+    pub feeds_per_node: usize,
     /// A reader that could not be reached, or was cut off, is passed over for this time while there are others.
     pub suspension: Duration,
     /// Knowledge that was not confirmed for this time is stale: the node asks the store itself. Longer than a reader's
@@ -36,7 +36,7 @@
         ReadersConfig {
             readers_minimum: 3,
             nodes_per_reader: 100,
-            feeds: 2,
+            feeds_per_node: 2,
             suspension: Duration::from_secs(3),
             stale: Duration::from_millis(1_600),
         }
@@ -76,7 +76,7 @@
         let mut readers = rank_by_address(own_key.as_bytes(), self.of(peers), |address| *address);
         readers.retain(|reader| *reader != self.own);
         readers.sort_by_key(|reader| self.is_suspended(*reader, now));
-        readers.truncate(self.config.feeds);
+        readers.truncate(self.config.feeds_per_node);
         readers
     }
 
--- a/crates/core/tests/replication.rs
+++ b/crates/core/tests/replication.rs
@@ -51,9 +51,9 @@
 fn a_node_that_has_just_started_assumes_many_nodes() {
     let config = PeerTableConfig::default();
     let mut table = table(1, &[2]);
-    assert_eq!(table.nodes(START), config.nodes_assumed, "it has heard of nobody yet");
+    assert_eq!(table.nodes(START), config.assumed_nodes, "it has heard of nobody yet");
     table.receive(&digest(2, 1, 1, &[3]), START);
-    assert_eq!(table.nodes(START), config.nodes_assumed, "others may not have been heard of yet");
+    assert_eq!(table.nodes(START), config.assumed_nodes, "others may not have been heard of yet");
     assert_eq!(table.nodes(START + config.settling), 3);
 }
 
--- a/crates/relay/src/control/learner.rs
+++ b/crates/relay/src/control/learner.rs
@@ -201,7 +201,7 @@
             return;
         }
         let unpacked = unpack::<ConfigurationUpdate>(&packed.bytes).map_err(|error| error.to_string());
-        let is_whole = matches!(unpacked, Ok(ConfigurationUpdate::Whole(_)));
+        let is_whole = matches!(unpacked, Ok(ConfigurationUpdate::Full(_)));
         match unpacked.and_then(|news| news.apply(base).map_err(|error| error.to_string())) {
             Ok(configuration) => {
                 let bytes = packed.bytes.len();
--- a/crates/relay/src/control/tellable_news.rs
+++ b/crates/relay/src/control/tellable_news.rs
@@ -32,7 +32,7 @@
             return steps;
         }
         if self.whole.is_none() {
-            self.whole = packed(configuration.version, &ConfigurationUpdate::Whole(configuration.clone()));
+            self.whole = packed(configuration.version, &ConfigurationUpdate::Full(configuration.clone()));
         }
         self.whole.clone().into_iter().collect()
     }
--- a/crates/relay/src/control/thread.rs
+++ b/crates/relay/src/control/thread.rs
@@ -155,7 +155,7 @@
 ) {
     tokio::task::spawn_local(follow_directory(store.clone(), role.clone(), learner.clone(), metrics.clone()));
     tokio::task::spawn_local(follow_configuration(store, role.clone(), learner.clone(), metrics));
-    for slot in 0..ReadersConfig::default().feeds {
+    for slot in 0..ReadersConfig::default().feeds_per_node {
         tokio::task::spawn_local(learn_from_feed(slot, role.clone(), learner.clone(), peers.fetcher()));
     }
     tokio::task::spawn_local(peers.fetcher().run());
--- a/crates/relay/src/knowledge.rs
+++ b/crates/relay/src/knowledge.rs
@@ -73,7 +73,7 @@
             configuration: None,
             directory: Arc::new(Directory::new()),
             directory_confirmed_at: None,
-            nodes: PeerTableConfig::default().nodes_assumed,
+            nodes: PeerTableConfig::default().assumed_nodes,
             peers: Arc::default(),
             is_reader: true,
             changing: Arc::default(),
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -62,7 +62,7 @@
         sample("answer.nothing", PullAnswer::default()),
         sample("answer.changes", answer(DirectoryUpdate::Changes(changes()))),
         sample("answer.listing", answer(DirectoryUpdate::Listing(listing()))),
-        sample("news.whole", ConfigurationUpdate::Whole(configuration(9))),
+        sample("news.whole", ConfigurationUpdate::Full(configuration(9))),
         sample("news.changes", news_of_changes()),
     ];
     samples.extend(readings());
