--- a/crates/core/src/limits/config.rs
+++ b/crates/core/src/limits/config.rs
@@ -1,27 +1,27 @@
-//! Times of leases.
+//! Timing of leases.
 
 use std::time::Duration;
 
 use displaydoc::Display;
 
-/// Times of leases. All nodes of a deployment must use the same values.
+/// Timing of leases. All nodes of a deployment must use the same values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitConfig {
-    /// How long a gateway may use a share, measured from when it sent the request for it. A longer lease costs fewer
+    /// How long a gateway may use a share, measured from when it sent the lease request. A longer lease costs fewer
     /// messages; a shorter one frees the share of a lost gateway sooner.
     pub lease: Duration,
-    /// How much faster one node's clock may run than another's, as a share. The home counts a lease for so much longer.
+    /// How much faster one node's clock may run than another's, as a fraction. The home counts a lease for longer by it.
     pub clock_drift: f64,
-    /// How long a node may go on believing that it is a tenant's home after another one has become it. A new home
-    /// waits for a lease and this time before it leases anything that isn't held already.
+    /// How long a node may still assume that it is a tenant's home after another node has become the home. A new home
+    /// waits for the counted time of a lease plus this time before it leases more than gateways already hold.
     pub view_lag: Duration,
-    /// The longest time that a request runs. Requests admitted by a gateway that was lost count for so long.
+    /// Maximum time that a request runs. Requests admitted by a lost gateway are counted for this time.
     pub request_time_maximum: Duration,
-    /// Shortest time between two lease requests of one gateway for one tenant.
+    /// Minimum time between two lease requests of one gateway for one tenant.
     pub request_interval: Duration,
-    /// Work that may be saved up, in seconds of the share's rate.
+    /// Maximum work that may accumulate, as time at the share's rate.
     pub burst: Duration,
-    /// How much more than the demand seen a gateway asks for, so that a small rise needs no new lease.
+    /// Factor by which a gateway's request exceeds its observed demand, so that a small rise needs no new lease.
     pub headroom: f64,
 }
 
@@ -53,10 +53,10 @@
 }
 
 impl LimitConfig {
-    /// Checks that the values fit together.
+    /// Checks that the values are consistent.
     ///
     /// # Errors
-    /// The first rule that is broken.
+    /// The first violated rule.
     pub fn validate(&self) -> Result<(), LimitConfigError> {
         if self.request_interval.is_zero() || self.request_interval * 4 > self.lease {
             return Err(LimitConfigError::RequestInterval);
@@ -73,12 +73,12 @@
         Ok(())
     }
 
-    /// How long the home counts a lease, from when it granted it.
+    /// How long the home counts a lease, measured from the grant.
     pub fn counted_lease(&self) -> Duration {
         self.lease.mul_f64(1.0 + self.clock_drift)
     }
 
-    /// How long a new home leases nothing that isn't held already.
+    /// How long a new home leases no more than gateways already hold.
     pub fn takeover_wait(&self) -> Duration {
         self.counted_lease() + self.view_lag
     }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,9 +1,9 @@
-//! Tenants' limits, kept over all gateways without a message for each request.
+//! Tenants' limits, enforced over all gateways together without a message for each request.
 //!
-//! Each tenant has a home node, the first in line for its name. The home's [`LimitAllocator`] leases shares of the
-//! limits to gateways by demand; a gateway's [`TenantLimiter`] admits requests within its shares. A share counts at the
-//! home for longer than the gateway may use it, so the shares in use never add up to more than the limit.
-//! `docs/adr/0007-tenant-limits.md` states the bound and what it costs.
+//! Each tenant has a home node, the highest-ranked node for its name. The home's [`LimitAllocator`] leases shares of the
+//! limits to gateways by demand; a gateway's [`TenantLimiter`] admits requests within its shares. The home counts a share
+//! for longer than the gateway may use it, so the shares in use never add up to more than the limit.
+//! `docs/adr/0007-tenant-limits.md` states the bound and its cost.
 
 mod allocator;
 mod config;
--- a/crates/core/src/replication/configuration_update.rs
+++ b/crates/core/src/replication/configuration_update.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of the configuration: the changes since the asker's, or all of it.
+//! Configuration updates between nodes: the changes since the requesting node's version, or the full configuration.
 
 use std::collections::VecDeque;
 
@@ -9,46 +9,47 @@
     CallerLimits, ConfigurationNumber, Route, ServiceDescription, TenantAccess, TrafficConfiguration,
 };
 
-/// Steps that a node keeps for others to follow. A node that is further behind is told all.
+/// Maximum number of steps that a node keeps for its peers. A peer that is further behind gets the full configuration.
 const STEPS_MAXIMUM: usize = 32;
 
-/// The bytes of all kept steps. Packed, a route takes some 14 bytes (19 KB for 1,400 routes with random names, 57 KB for 4,200):
-/// this is a configuration of 7,000 routes, and following more steps costs more than being told all.
+/// Maximum size of all kept steps together. A packed route takes about 14 bytes (19 KB for 1,400 routes with random
+/// names, 57 KB for 4,200), so this is the size of a configuration of 7,000 routes. Beyond it, sending the steps costs
+/// more than sending the full configuration.
 const STEPS_MAXIMUM_BYTES: usize = 96 * 1024;
 
-/// Why a node can't follow what it is told.
+/// Why a configuration update can't be applied.
 #[derive(Clone, Copy, Debug, displaydoc::Display, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidUpdate {
-    /// the changes are of another configuration than the one in force
-    AnotherBase,
-    /// the changes lead to another configuration than they were made for
-    AnotherResult,
+    /// the changes are based on a different configuration than the one in force
+    BaseMismatch,
+    /// the changes result in a different configuration than the one they were made for
+    ResultMismatch,
 }
 
-/// A configuration, or the way to it.
+/// A full configuration, or the changes that lead to it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[allow(clippy::large_enum_variant, reason = "there is one at a time")]
 pub enum ConfigurationUpdate {
-    /// All of it.
+    /// The full configuration.
     Full(TrafficConfiguration),
-    /// What is new in it.
+    /// The changes since another version.
     Changes(ConfigurationChanges),
 }
 
 impl ConfigurationUpdate {
-    /// The configuration that follows on `base`, the one in force.
+    /// Returns the configuration that results from applying the update to `base`, the one in force.
     ///
     /// # Errors
-    /// When these are changes of another configuration.
+    /// When the update consists of changes to a different configuration.
     pub fn apply(self, base: Option<&TrafficConfiguration>) -> Result<TrafficConfiguration, InvalidUpdate> {
         match self {
             ConfigurationUpdate::Full(configuration) => Ok(configuration),
-            ConfigurationUpdate::Changes(changes) => changes.apply(base.ok_or(InvalidUpdate::AnotherBase)?),
+            ConfigurationUpdate::Changes(changes) => changes.apply(base.ok_or(InvalidUpdate::BaseMismatch)?),
         }
     }
 }
 
-/// What is new in a configuration: routes and tenants by item, the small rest whole.
+/// The changes of a configuration: item by item for routes and tenants, complete for the other, small parts.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ConfigurationChanges {
     base: ConfigurationNumber,
@@ -57,12 +58,12 @@
     services: Vec<ServiceDescription>,
     limits: CallerLimits,
     tenants: Option<ListChanges<TenantAccess>>,
-    /// Of the result. Two configurations that another writer gave the same version must not be mixed.
+    /// Fingerprint of the result. It detects a base that another writer stored under the same version.
     fingerprint: u64,
 }
 
 impl ConfigurationChanges {
-    /// What makes `target` of `base`; `None` when the target can't be fingerprinted.
+    /// The changes that turn `base` into `target`; `None` when the target can't be fingerprinted.
     pub fn between(base: &TrafficConfiguration, target: &TrafficConfiguration) -> Option<Self> {
         let base_tenants = base.tenants.as_deref().unwrap_or_default();
         Some(ConfigurationChanges {
@@ -78,18 +79,18 @@
 
     fn apply(self, base: &TrafficConfiguration) -> Result<TrafficConfiguration, InvalidUpdate> {
         if self.base != base.version {
-            return Err(InvalidUpdate::AnotherBase);
+            return Err(InvalidUpdate::BaseMismatch);
         }
         let base_tenants = base.tenants.as_deref().unwrap_or_default();
-        let tenants = self.tenants.map(|tenants| tenants.apply(base_tenants).ok_or(InvalidUpdate::AnotherBase));
+        let tenants = self.tenants.map(|tenants| tenants.apply(base_tenants).ok_or(InvalidUpdate::BaseMismatch));
         let result = TrafficConfiguration {
             version: self.version,
-            routes: self.routes.apply(&base.routes).ok_or(InvalidUpdate::AnotherBase)?,
+            routes: self.routes.apply(&base.routes).ok_or(InvalidUpdate::BaseMismatch)?,
             services: self.services,
             limits: self.limits,
             tenants: tenants.transpose()?,
         };
-        if fingerprint(&result) == Some(self.fingerprint) { Ok(result) } else { Err(InvalidUpdate::AnotherResult) }
+        if fingerprint(&result) == Some(self.fingerprint) { Ok(result) } else { Err(InvalidUpdate::ResultMismatch) }
     }
 }
 
@@ -98,16 +99,16 @@
     Some(xxhash_rust::xxh3::xxh3_64(&bytes))
 }
 
-/// [`ConfigurationUpdate`] as it is sent: packed once, however many ask for it.
+/// A [`ConfigurationUpdate`] as it is sent: packed once for all peers that request it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PackedUpdate {
-    /// The version that it leads to.
+    /// The version that results from applying it.
     pub version: ConfigurationNumber,
-    /// The bytes.
+    /// The serialized [`ConfigurationUpdate`].
     pub bytes: Vec<u8>,
 }
 
-/// The last steps from one configuration to the next, as this node made them.
+/// The latest steps between configurations, in the order in which they came into force at this node.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationHistory {
     steps: VecDeque<HistoryStep>,
@@ -116,28 +117,28 @@
 #[derive(Clone, Debug)]
 struct HistoryStep {
     base: ConfigurationNumber,
-    news: PackedUpdate,
+    update: PackedUpdate,
 }
 
 impl ConfigurationHistory {
-    /// Keeps the step from `base` to where `news` leads.
-    pub fn push(&mut self, base: ConfigurationNumber, news: PackedUpdate) {
-        if self.steps.back().is_some_and(|last| last.news.version != base) {
+    /// Appends the step from `base` to the version of `update`. Clears the history when `base` isn't its latest version.
+    pub fn push(&mut self, base: ConfigurationNumber, update: PackedUpdate) {
+        if self.steps.back().is_some_and(|last| last.update.version != base) {
             self.steps.clear();
         }
-        self.steps.push_back(HistoryStep { base, news });
-        while self.steps.len() > STEPS_MAXIMUM || self.bytes() > STEPS_MAXIMUM_BYTES {
+        self.steps.push_back(HistoryStep { base, update });
+        while self.steps.len() > STEPS_MAXIMUM || self.total_bytes() > STEPS_MAXIMUM_BYTES {
             self.steps.pop_front();
         }
     }
 
-    /// The steps that lead on from `version`; `None` when they aren't kept.
+    /// The steps from `version` to the latest version; `None` when they aren't kept.
     pub fn since(&self, version: ConfigurationNumber) -> Option<Vec<PackedUpdate>> {
         let first = self.steps.iter().position(|step| step.base == version)?;
-        Some(self.steps.range(first..).map(|step| step.news.clone()).collect())
+        Some(self.steps.range(first..).map(|step| step.update.clone()).collect())
     }
 
-    fn bytes(&self) -> usize {
-        self.steps.iter().map(|step| step.news.bytes.len()).sum()
+    fn total_bytes(&self) -> usize {
+        self.steps.iter().map(|step| step.update.bytes.len()).sum()
     }
 }
--- a/crates/core/src/replication/list_changes.rs
+++ b/crates/core/src/replication/list_changes.rs
@@ -1,40 +1,40 @@
-//! How one list becomes another, told by what is new in it.
+//! Differences between two lists: ranges kept from the base list and inserted items.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use speedy::{Readable, Writable};
 
-/// A part of the new list.
+/// A section of the target list.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ListStep<T> {
-    /// So many items of the former list, from this one on.
+    /// A range of items of the base list.
     Keep {
-        /// The place of the first one, from 0.
+        /// Index of the first item.
         from: u32,
-        /// How many.
+        /// Number of items.
         count: u32,
     },
-    /// Items that the former list doesn't have.
+    /// Items that the base list doesn't contain.
     Insert(Vec<T>),
 }
 
-/// The parts of the new list, in order.
+/// The changes between two lists, as the sections of the target list in order.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ListChanges<T> {
     steps: Vec<ListStep<T>>,
 }
 
 impl<T: Clone + Eq + Hash> ListChanges<T> {
-    /// What makes `target` of `base`.
+    /// The changes that turn `base` into `target`.
     pub fn between(base: &[T], target: &[T]) -> Self {
-        let places: HashMap<&T, usize> = base.iter().enumerate().map(|(place, item)| (item, place)).collect();
+        let indexes: HashMap<&T, usize> = base.iter().enumerate().map(|(index, item)| (item, index)).collect();
         let mut steps = Vec::new();
         for item in target {
-            let place = places.get(item).and_then(|place| u32::try_from(*place).ok());
-            match (place, steps.last_mut()) {
-                (Some(place), Some(ListStep::Keep { from, count })) if *from + *count == place => *count += 1,
-                (Some(place), _) => steps.push(ListStep::Keep { from: place, count: 1 }),
+            let index = indexes.get(item).and_then(|index| u32::try_from(*index).ok());
+            match (index, steps.last_mut()) {
+                (Some(index), Some(ListStep::Keep { from, count })) if *from + *count == index => *count += 1,
+                (Some(index), _) => steps.push(ListStep::Keep { from: index, count: 1 }),
                 (None, Some(ListStep::Insert(items))) => items.push(item.clone()),
                 (None, _) => steps.push(ListStep::Insert(vec![item.clone()])),
             }
@@ -42,7 +42,8 @@
         ListChanges { steps }
     }
 
-    /// The new list; `None` when `base` is not the list that this was made from, as far as that shows.
+    /// Returns the target list; `None` when a kept range exceeds `base`. Any other difference between `base` and the list
+    /// that the changes were made from goes undetected.
     pub fn apply(self, base: &[T]) -> Option<Vec<T>> {
         let mut target = Vec::new();
         for step in self.steps {
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other.
+//! Messages between nodes.
 
 use std::time::Duration;
 
@@ -17,31 +17,31 @@
 /// A datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum PeerMessage {
-    /// What the sender has.
+    /// The versions of the sender's configuration and directory.
     Digest(Digest),
-    /// What the sender's callers ask of engines, for the nodes that decide on stages.
+    /// The demand of the sender's callers on engines, for the nodes that decide on stages.
     Demand(DemandReport),
     /// Engines that are about to change their stage.
     Stages(StageNotice),
-    /// What the sender's callers have used, for the candidates that report it.
+    /// The usage of the sender's callers, for the candidates that report it.
     Usage(UsageCountsMessage),
-    /// The candidate at this address has just started and wants all counts that are kept.
+    /// The candidate at this address has just started and requests all usage counts that its peers keep.
     UsageWanted(Address),
 }
 
-/// The engines that change their stage now, told by the holder of the lease to all nodes, again and again until they have
-/// changed: nothing new is to be sent there.
+/// The engines that are changing their stage. The holder of the lease announces them to all nodes repeatedly until the
+/// change is complete; nodes must send them no new requests.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StageNotice {
-    /// The sender's address for its peers.
+    /// The address at which peers reach the sender.
     pub sender: Address,
-    /// The term of the sender's lease; of two senders, the one with the lower term is wrong.
+    /// The term of the sender's lease; of two senders, the one with the lower term is outdated.
     pub term: Term,
-    /// The engines and the stage that each is to serve.
+    /// The engines, each with the stage that it is to serve.
     pub engines: Vec<(BackEndId, EngineStage)>,
 }
 
-/// What a node has, sent to a few peers at a time in one datagram.
+/// The versions of a node's configuration and directory, sent in one datagram to a few peers at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Digest {
     /// The sender.
@@ -50,63 +50,64 @@
     pub configuration: ConfigurationNumber,
     /// The position of the last change in the sender's directory; 0 when it has none.
     pub directory: Position,
-    /// Peers that the sender has heard from lately, a few of them.
+    /// A few of the peers from which the sender has received a digest recently.
     pub peers: Vec<PeerAddresses>,
 }
 
-/// Where a node is reached by its peers.
+/// The addresses at which peers reach a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PeerAddresses {
-    /// Where it answers pulls and digests; names the node.
+    /// Where it receives digests and pulls; identifies the node.
     pub control: Address,
-    /// Where it takes notices of readings.
+    /// Where it receives prefill notices.
     pub notices: Address,
 }
 
-/// Asks for what is newer than the asker's own.
+/// Requests everything newer than what the requesting node has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Pull {
-    /// The configuration that news of it are to lead on from: the one in force at the asker, or 0 to be told all. `None`: the
-    /// asker wants none now. News may be large, so a node has them sent over one connection at a time.
+    /// The version to send updates from: the one in force at the requesting node, or 0 for the full configuration.
+    /// `None`: no updates. Updates may be large, so a node requests them over one connection at a time.
     pub configuration: Option<ConfigurationNumber>,
-    /// The position of the asker's directory; without an era where the asker knows none.
+    /// The position of the requesting node's directory; without an era when that node knows none.
     pub directory: Position,
-    /// How long the answer may wait until there is something new, in milliseconds.
+    /// How long the answer may be held back until there is an update, in milliseconds.
     pub wait_millis: u32,
 }
 
-/// What is newer than the asker's own.
+/// Everything newer than what the requesting node has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct PullAnswer {
     /// The configuration in force at the sender; 0 when it has none.
     pub newest: ConfigurationNumber,
-    /// A position of the store at which that configuration was the newest; `None`: not known.
+    /// A position of the store at which that configuration was the newest; `None`: unknown.
     pub newest_at: Option<Position>,
-    /// What leads to it, in order, where the asker wanted it.
+    /// The updates that lead to it, in order, if the pull requested them.
     pub configuration: Vec<PackedUpdate>,
-    /// What leads to a newer directory.
+    /// The update to a newer directory.
     pub directory: Option<DirectoryUpdate>,
-    /// How long ago the store had confirmed what the sender has, when it made the answer.
+    /// How long ago the store had confirmed the sender's state when the sender made the answer.
     pub ages: KnowledgeAges,
-    /// How long the sender had waited for news when it made the answer, in milliseconds.
+    /// How long the sender had waited for an update before it made the answer, in milliseconds.
     pub waited_millis: u32,
 }
 
 impl PullAnswer {
-    /// A moment at which the sender had not yet made the answer, for one that was asked for at `asked_at`: its ages count back
-    /// from there, so that the time an answer was on its way makes nothing younger.
+    /// A lower bound of the time at which the sender made the answer to a pull sent at `asked_at`. The ages in the answer
+    /// count back from it, so that time in transit never makes knowledge appear younger than it is.
     pub fn made_after(&self, asked_at: Timestamp) -> Timestamp {
         asked_at + Duration::from_millis(u64::from(self.waited_millis))
     }
 }
 
-/// How long ago the store has confirmed what a node has, directly or by way of others, in milliseconds.
+/// How long ago the store confirmed a node's state, directly or through other nodes, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct KnowledgeAges {
-    /// Of the configuration; `None`: never.
+    /// Age of the confirmation of the configuration; `None`: never confirmed.
     pub configuration_millis: Option<u32>,
-    /// How long ago the configuration was shown to be the newest, where nothing on its way counts; `None`: never.
+    /// How long ago the configuration was verified to be the newest, where time in transit or spent waiting never lowers
+    /// the age; `None`: never verified.
     pub configuration_shown_millis: Option<u32>,
-    /// Of the directory; `None`: never.
+    /// Age of the confirmation of the directory; `None`: never confirmed.
     pub directory_millis: Option<u32>,
 }
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -1,5 +1,5 @@
-//! How nodes learn from each other what is in the store: a few read it and feed the rest; digests of what each node has
-//! lead to pulls of what is newer where that does not suffice.
+//! Replication of the store's content between nodes. A few nodes read the store and feed the others. Where that does not
+//! suffice, nodes exchange digests of their versions and pull newer ones from each other.
 
 mod configuration_update;
 mod list_changes;
--- a/crates/core/src/replication/peer_table.rs
+++ b/crates/core/src/replication/peer_table.rs
@@ -1,4 +1,4 @@
-//! Which other nodes there are, as their digests show it.
+//! The other nodes of the deployment, as learned from digests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,51 +9,54 @@
 use crate::time::Timestamp;
 use crate::world::Address;
 
-/// Limits of a [`PeerTable`].
+/// Sizes and times of a [`PeerTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerTableConfig {
-    /// The peers that get a digest each time.
+    /// Number of peers that each digest is sent to.
     pub fan_out: usize,
-    /// The peers that a digest names.
-    pub peers_named: usize,
-    /// A peer that was not heard from for this time is no longer named to others, nor asked first.
-    pub fresh: Duration,
-    /// A peer that nobody has named for this time is no longer told of readings, nor a reader. With many nodes a digest of a peer itself
-    /// comes seldom, its name much more often: at 330 nodes three to four times in this time.
-    pub recent: Duration,
-    /// A peer that was not heard from for this time is forgotten; longer than the window of the retry budget.
-    pub forgotten: Duration,
-    /// The nodes that a node assumes until it has had time to hear of them: its part of what is shared is then small.
+    /// Maximum number of peers that a digest lists.
+    pub listed_peers: usize,
+    /// A peer that has sent no digest for this time is no longer listed in digests, nor pulled from first.
+    pub fresh_for: Duration,
+    /// A peer that was not seen for this time gets no more prefill notices and is no store reader. A peer is seen when it
+    /// sends a digest or is listed in one. With many nodes its own digests arrive rarely, but others list it much more
+    /// often: at 330 nodes, three to four times in this time.
+    pub recent_for: Duration,
+    /// A peer that was not seen for this time is removed; longer than the window of the retry budget.
+    pub forget_after: Duration,
+    /// Number of nodes assumed until a new node has had time to discover them. It keeps the new node's part of shared
+    /// budgets small.
     pub assumed_nodes: u32,
-    /// The time in which all nodes are heard of, a few rounds of digests.
-    pub settling: Duration,
+    /// The time within which a new node discovers all others: a few rounds of digests.
+    pub settling_time: Duration,
 }
 
 impl Default for PeerTableConfig {
     fn default() -> Self {
         PeerTableConfig {
             fan_out: 3,
-            peers_named: 8,
-            fresh: Duration::from_secs(2),
-            recent: Duration::from_secs(10),
-            forgotten: Duration::from_secs(25),
+            listed_peers: 8,
+            fresh_for: Duration::from_secs(2),
+            recent_for: Duration::from_secs(10),
+            forget_after: Duration::from_secs(25),
             assumed_nodes: 16,
-            settling: Duration::from_secs(3),
+            settling_time: Duration::from_secs(3),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    /// When a digest came from it; `None` for a peer that others named.
-    heard_at: Option<Timestamp>,
-    named_at: Timestamp,
+    /// When its latest digest arrived; `None` for a peer known only from other digests.
+    digest_at: Option<Timestamp>,
+    /// When a digest last came from it or listed it.
+    seen_at: Timestamp,
     notices: Address,
     configuration: ConfigurationNumber,
     directory: Position,
 }
 
-/// The other nodes that this one knows of. Seeds are never forgotten.
+/// The other nodes that this one knows. Seeds are never removed.
 #[derive(Clone, Debug)]
 pub struct PeerTable {
     config: PeerTableConfig,
@@ -64,67 +67,71 @@
 }
 
 impl PeerTable {
-    /// A table that knows the seeds only, of a node that starts at `now`.
+    /// A table with only the seeds, for a node that starts at `now`.
     pub fn new(config: PeerTableConfig, own_address: Address, seeds: Vec<Address>, now: Timestamp) -> Self {
         PeerTable { config, own_address, seeds, started_at: now, peers: BTreeMap::new() }
     }
 
-    /// Replaces the seeds, when the settings have changed.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&mut self, seeds: Vec<Address>) {
         self.seeds = seeds;
     }
 
-    /// Takes a digest in.
+    /// Records the sender of a digest, its versions and the peers that the digest lists.
     pub fn receive(&mut self, digest: &Digest, now: Timestamp) {
         for peer in &digest.peers {
-            self.note(*peer, now);
+            self.record(*peer, now);
         }
-        self.note(digest.sender, now);
+        self.record(digest.sender, now);
         if let Some(peer) = self.peers.get_mut(&digest.sender.control) {
-            peer.heard_at = Some(now);
+            peer.digest_at = Some(now);
             peer.configuration = digest.configuration;
             peer.directory = digest.directory;
         }
     }
 
-    /// Forgets peers that nothing was heard of for long.
+    /// Removes the peers that were not seen for [`PeerTableConfig::forget_after`].
     pub fn tick(&mut self, now: Timestamp) {
-        let forgotten = self.config.forgotten;
-        self.peers.retain(|_, peer| now.since(peer.named_at) < forgotten);
+        let forget_after = self.config.forget_after;
+        self.peers.retain(|_, peer| now.since(peer.seen_at) < forget_after);
     }
 
-    /// The nodes that were there within the time after which they are forgotten, this one included; at least those that
-    /// are assumed while the node has just started.
+    /// The number of known nodes, this one included; at least [`PeerTableConfig::assumed_nodes`] until the node has had
+    /// time to discover the others.
     pub fn nodes(&self, now: Timestamp) -> u32 {
         let known = u32::try_from(self.peers.len()).unwrap_or(u32::MAX).saturating_add(1);
-        if now.since(self.started_at) < self.config.settling { known.max(self.config.assumed_nodes) } else { known }
+        if now.since(self.started_at) < self.config.settling_time {
+            known.max(self.config.assumed_nodes)
+        } else {
+            known
+        }
     }
 
-    /// The peers that were heard from lately.
+    /// The peers that have sent a digest recently.
     pub fn fresh(&self, now: Timestamp) -> impl Iterator<Item = Address> {
-        let fresh = self.config.fresh;
+        let fresh_for = self.config.fresh_for;
         self.peers
             .iter()
-            .filter(move |(_, peer)| peer.heard_at.is_some_and(|heard_at| now.since(heard_at) < fresh))
+            .filter(move |(_, peer)| peer.digest_at.is_some_and(|digest_at| now.since(digest_at) < fresh_for))
             .map(|(address, _)| *address)
     }
 
-    /// Where the peers that were heard of lately take notices of readings, in order.
+    /// The addresses for prefill notices of the peers that were seen recently, in the order of [`PeerTable::recent`].
     pub fn notice_addresses(&self, now: Timestamp) -> Vec<Address> {
-        self.recently_named(now).map(|(_, peer)| peer.notices).collect()
+        self.recently_seen(now).map(|(_, peer)| peer.notices).collect()
     }
 
-    /// The peers that were heard of lately, in order.
+    /// The peers that were seen recently, ordered by address.
     pub fn recent(&self, now: Timestamp) -> Vec<Address> {
-        self.recently_named(now).map(|(control, _)| *control).collect()
+        self.recently_seen(now).map(|(control, _)| *control).collect()
     }
 
-    fn recently_named(&self, now: Timestamp) -> impl Iterator<Item = (&Address, &Peer)> {
-        let recent = self.config.recent;
-        self.peers.iter().filter(move |(_, peer)| now.since(peer.named_at) < recent)
+    fn recently_seen(&self, now: Timestamp) -> impl Iterator<Item = (&Address, &Peer)> {
+        let recent_for = self.config.recent_for;
+        self.peers.iter().filter(move |(_, peer)| now.since(peer.seen_at) < recent_for)
     }
 
-    /// A few peers at random for the next digest, and those to be named in it.
+    /// The receivers of the next digest and the peers to list in it, both chosen at random.
     pub fn next_digest(&self, now: Timestamp, random: &mut fastrand::Rng) -> (Vec<Address>, Vec<PeerAddresses>) {
         let mut receivers: Vec<Address> = self.peers.keys().copied().collect();
         for seed in &self.seeds {
@@ -134,14 +141,14 @@
         }
         random.shuffle(&mut receivers);
         receivers.truncate(self.config.fan_out);
-        let name = |control: Address| PeerAddresses { control, notices: self.peers[&control].notices };
-        let mut named: Vec<PeerAddresses> = self.fresh(now).map(name).collect();
-        random.shuffle(&mut named);
-        named.truncate(self.config.peers_named);
-        (receivers, named)
+        let addresses_of = |control: Address| PeerAddresses { control, notices: self.peers[&control].notices };
+        let mut listed: Vec<PeerAddresses> = self.fresh(now).map(addresses_of).collect();
+        random.shuffle(&mut listed);
+        listed.truncate(self.config.listed_peers);
+        (receivers, listed)
     }
 
-    /// A peer that has a newer configuration or a newer directory, whichever is asked for.
+    /// A random peer whose configuration is newer than `configuration` or whose directory is newer than `directory`.
     pub fn ahead(
         &self,
         configuration: Option<ConfigurationNumber>,
@@ -157,18 +164,18 @@
         (!ahead.is_empty()).then(|| ahead[random.usize(..ahead.len())])
     }
 
-    fn note(&mut self, named: PeerAddresses, now: Timestamp) {
-        if named.control == self.own_address {
+    fn record(&mut self, addresses: PeerAddresses, now: Timestamp) {
+        if addresses.control == self.own_address {
             return;
         }
-        let peer = self.peers.entry(named.control).or_insert(Peer {
-            heard_at: None,
-            named_at: now,
-            notices: named.notices,
+        let peer = self.peers.entry(addresses.control).or_insert(Peer {
+            digest_at: None,
+            seen_at: now,
+            notices: addresses.notices,
             configuration: ConfigurationNumber::default(),
             directory: Position::default(),
         });
-        peer.named_at = now;
-        peer.notices = named.notices;
+        peer.seen_at = now;
+        peer.notices = addresses.notices;
     }
 }
--- a/crates/core/tests/limits_simulation.rs
+++ b/crates/core/tests/limits_simulation.rs
@@ -1,5 +1,5 @@
-//! The sum over gateways stays within a tenant's limits, over lost and late messages, kills, pauses, changes of the
-//! tenant's home and partitions.
+//! The sum over all gateways stays within a tenant's limits despite lost and delayed messages, kills, pauses, changes of
+//! the tenant's home and partitions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 const NODES: u8 = 6;
 const LIMITS: TenantLimits = TenantLimits { concurrent_requests: 20, work_tokens_per_second: 4_000 };
-const LARGEST_WORK: u32 = 3_000;
+const WORK_MAXIMUM: u32 = 3_000;
 const REQUEST_TIME: Duration = Duration::from_secs(4);
 const TICK: Duration = Duration::from_millis(20);
 
@@ -46,12 +46,12 @@
 struct Node {
     limiter: TenantLimiter,
     allocator: LimitAllocator,
-    /// Nodes that this one sees alive, which decide on the home.
+    /// Nodes that this one sees alive; they determine the home.
     view: Vec<Address>,
-    running: Vec<Running>,
+    running: Vec<RunningRequest>,
 }
 
-struct Running {
+struct RunningRequest {
     permit: Permit,
     work: u32,
     ends: Timestamp,
@@ -61,14 +61,14 @@
     random: Rng,
     network: VirtualNetwork<Address, Message>,
     nodes: BTreeMap<Address, Node>,
-    lives: BTreeMap<Address, u64>,
+    incarnations: BTreeMap<Address, u64>,
     paused: Vec<Address>,
-    /// Requests of gateways that have died; engines go on with them until they end.
-    orphans: Vec<Timestamp>,
+    /// End times of the requests of killed gateways; engines continue to run them until then.
+    orphan_ends: Vec<Timestamp>,
     counts_orphans: bool,
     admitted: Vec<(Timestamp, u32)>,
     demand: f64,
-    most_running: usize,
+    peak_running: usize,
     now: Timestamp,
 }
 
@@ -84,13 +84,13 @@
             random: Rng::with_seed(seed),
             network: VirtualNetwork::new(seed, faults),
             nodes: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             paused: Vec::new(),
-            orphans: Vec::new(),
+            orphan_ends: Vec::new(),
             counts_orphans: true,
             admitted: Vec::new(),
             demand,
-            most_running: 0,
+            peak_running: 0,
             now: Timestamp::ZERO,
         };
         (0..NODES).for_each(|index| world.start(address(index)));
@@ -99,10 +99,10 @@
     }
 
     fn start(&mut self, address: Address) {
-        let life = self.lives.entry(address).or_default();
-        *life += 1;
-        let me = Member { address, incarnation: Incarnation(*life) };
-        let mut limiter = TenantLimiter::new(me, config());
+        let incarnation = self.incarnations.entry(address).or_default();
+        *incarnation += 1;
+        let member = Member { address, incarnation: Incarnation(*incarnation) };
+        let mut limiter = TenantLimiter::new(member, config());
         limiter.set_tenants(&[tenant()]);
         let allocator = LimitAllocator::new(config());
         self.nodes.insert(address, Node { limiter, allocator, view: Vec::new(), running: Vec::new() });
@@ -111,7 +111,7 @@
 
     fn kill(&mut self, address: Address) {
         if let Some(node) = self.nodes.remove(&address) {
-            self.orphans.extend(node.running.iter().map(|running| running.ends));
+            self.orphan_ends.extend(node.running.iter().map(|running| running.ends));
         }
         self.network.kill(address);
     }
@@ -120,7 +120,7 @@
         rank_by_address(b"tenant", view.iter().copied(), |address| *address).first().copied()
     }
 
-    /// All nodes of a side learn at once who is alive on it.
+    /// Updates the views of all nodes of a side at once to the nodes that are alive on it.
     fn set_views(&mut self, side: &[Address]) {
         let alive: Vec<Address> = side.iter().copied().filter(|address| self.nodes.contains_key(address)).collect();
         let reach = Reach { visible_nodes: alive.len() as u32, existing_nodes: self.nodes.len() as u32 };
@@ -133,20 +133,20 @@
         }
     }
 
-    fn use_tenant(&mut self, address: Address) {
+    fn step_gateway(&mut self, address: Address) {
         let node = self.nodes.get_mut(&address).expect("a running node");
-        let (over, running) =
+        let (finished, running) =
             std::mem::take(&mut node.running).into_iter().partition(|running| running.ends <= self.now);
         node.running = running;
-        let over: Vec<Running> = over;
-        for running in over {
+        let finished: Vec<RunningRequest> = finished;
+        for running in finished {
             node.limiter.release(running.permit, running.work, self.now);
         }
         if self.random.f64() < self.demand {
-            let work = self.random.u32(10..=LARGEST_WORK);
+            let work = self.random.u32(10..=WORK_MAXIMUM);
             let time = Duration::from_millis(self.random.u64(10..=REQUEST_TIME.as_millis() as u64));
             if let Ok(permit) = node.limiter.try_admit(&TenantName::new("tenant"), work, self.now) {
-                node.running.push(Running { permit, work, ends: self.now + time });
+                node.running.push(RunningRequest { permit, work, ends: self.now + time });
                 self.admitted.push((self.now, work));
             }
         }
@@ -174,62 +174,63 @@
         self.now = until;
         for address in self.nodes.keys().copied().collect::<Vec<_>>() {
             if !self.paused.contains(&address) {
-                self.use_tenant(address);
+                self.step_gateway(address);
             }
         }
-        self.orphans.retain(|ends| *ends > self.now);
-        let is_running = |running: &&Running| running.ends > self.now;
+        self.orphan_ends.retain(|ends| *ends > self.now);
+        let is_running = |running: &&RunningRequest| running.ends > self.now;
         let running: usize = self.nodes.values().map(|node| node.running.iter().filter(is_running).count()).sum();
-        self.most_running = self.most_running.max(running + if self.counts_orphans { self.orphans.len() } else { 0 });
+        self.peak_running =
+            self.peak_running.max(running + if self.counts_orphans { self.orphan_ends.len() } else { 0 });
     }
 
     fn run(&mut self, ticks: u32) {
         (0..ticks).for_each(|_| self.tick());
     }
 
-    fn not_home(&mut self) -> Address {
+    fn random_non_home(&mut self) -> Address {
         let all: Vec<Address> = (0..NODES).map(address).collect();
         let home = World::home(&all);
         let others: Vec<Address> = all.into_iter().filter(|address| Some(*address) != home).collect();
         others[self.random.usize(0..others.len())]
     }
 
-    /// The most work admitted in any window, less what the limit, the bursts and the last request of each gateway allow.
+    /// The maximum work admitted in any window, minus what the limit, the bursts and each gateway's last request allow.
     fn overshoot(&self, window: Duration) -> f64 {
         let rate = f64::from(LIMITS.work_tokens_per_second);
         let bursts = 2.0 * config().burst.as_secs_f64();
-        let allowed = rate * (window.as_secs_f64() + bursts) + f64::from(NODES) * f64::from(LARGEST_WORK);
+        let allowed = rate * (window.as_secs_f64() + bursts) + f64::from(NODES) * f64::from(WORK_MAXIMUM);
         let admitted_from = |start: Timestamp| -> f64 {
-            let inside = self.admitted.iter().filter(|(at, _)| *at >= start && *at < start + window);
-            inside.map(|(_, work)| f64::from(*work)).sum()
+            let in_window = self.admitted.iter().filter(|(at, _)| *at >= start && *at < start + window);
+            in_window.map(|(_, work)| f64::from(*work)).sum()
         };
-        let most = self.admitted.iter().map(|(at, _)| admitted_from(*at)).fold(0.0, f64::max);
-        most - allowed
+        let maximum = self.admitted.iter().map(|(at, _)| admitted_from(*at)).fold(0.0, f64::max);
+        maximum - allowed
     }
 
-    /// Right after a home change, requests admitted before it run on beside those of the new home's leases: each home's
-    /// own stay within the limit. Once they have ended, the sum is within it again.
-    fn check_change_of_home(&mut self, ticks: u32, label: &str) {
-        self.most_running = 0;
+    /// Right after a change of the home, requests admitted before it still run beside those under the new home's leases.
+    /// The requests of each home stay within the limit; once the older ones have ended, so does the sum.
+    fn check_home_change(&mut self, ticks: u32, label: &str) {
+        self.peak_running = 0;
         self.run(ticks);
         let limit = LIMITS.concurrent_requests as usize;
-        assert!(self.most_running <= 2 * limit, "{label}: {} ran at once after the change", self.most_running);
-        self.most_running = 0;
+        assert!(self.peak_running <= 2 * limit, "{label}: {} requests ran at once after the change", self.peak_running);
+        self.peak_running = 0;
     }
 
     fn check(&self, label: &str) {
         let limit = LIMITS.concurrent_requests as usize;
-        assert!(self.most_running <= limit, "{label}: {} ran at once, limit {limit}", self.most_running);
+        assert!(self.peak_running <= limit, "{label}: {} requests ran at once, limit {limit}", self.peak_running);
         for window in [1, 5, 20] {
             let overshoot = self.overshoot(Duration::from_secs(window));
             assert!(overshoot <= 0.0, "{label}: {overshoot} tokens too many in {window} s");
         }
     }
 
-    /// Admitted work as a share of what the limit allows from `start` on.
-    fn use_since(&self, start: Timestamp) -> f64 {
-        let inside = self.admitted.iter().filter(|(at, _)| *at >= start);
-        let work: f64 = inside.map(|(_, work)| f64::from(*work)).sum();
+    /// Admitted work since `start` as a fraction of what the limit allows.
+    fn utilization_since(&self, start: Timestamp) -> f64 {
+        let in_window = self.admitted.iter().filter(|(at, _)| *at >= start);
+        let work: f64 = in_window.map(|(_, work)| f64::from(*work)).sum();
         work / (f64::from(LIMITS.work_tokens_per_second) * self.now.since(start).as_secs_f64())
     }
 }
@@ -242,18 +243,18 @@
         world.run(400);
         let start = world.now;
         world.run(1_500);
-        let used = world.use_since(start);
-        assert!(used >= 0.8, "demand {demand}: only {used} of the limit used");
+        let utilization = world.utilization_since(start);
+        assert!(utilization >= 0.8, "demand {demand}: only {utilization} of the limit used");
     }
 }
 
 #[test]
-fn gateways_that_die_or_pause_never_bring_the_sum_over_the_limits() {
+fn killed_or_paused_gateways_never_raise_the_sum_above_the_limits() {
     for seed in 0..150 {
         let mut world = World::new(seed, if seed % 2 == 0 { 0.05 } else { 0.5 });
         for _ in 0..20 {
             world.run(60);
-            let target = world.not_home();
+            let target = world.random_non_home();
             match world.random.u8(0..4) {
                 0 => world.kill(target),
                 1 if world.nodes.contains_key(&target) => {
@@ -271,15 +272,15 @@
             world.set_views(&(0..NODES).map(address).collect::<Vec<_>>());
         }
         world.check(&format!("seed {seed}"));
-        assert!(world.use_since(Timestamp::ZERO) > 0.3, "seed {seed}: {} requests", world.admitted.len());
+        assert!(world.utilization_since(Timestamp::ZERO) > 0.3, "seed {seed}: {} requests", world.admitted.len());
     }
 }
 
 #[test]
-fn a_new_home_waits_for_what_the_old_one_has_leased() {
+fn a_new_home_waits_until_the_leases_of_the_old_one_have_expired() {
     for seed in 0..150 {
         let mut world = World::new(seed, 0.5);
-        // What ran at a gateway that was lost together with the home is known to nobody.
+        // No node knows the requests that ran at a gateway that was lost together with the home.
         world.counts_orphans = false;
         let all: Vec<Address> = (0..NODES).map(address).collect();
         for _ in 0..6 {
@@ -317,12 +318,12 @@
         let label = format!("seed {seed}, split {split}");
         world.set_views(one);
         world.set_views(other);
-        world.check_change_of_home(400, &label);
+        world.check_home_change(400, &label);
         world.run(300);
         world.check(&label);
         world.network.heal();
         world.set_views(&all);
-        world.check_change_of_home(400, &label);
+        world.check_home_change(400, &label);
         world.run(300);
         world.check(&label);
     }
--- a/crates/core/tests/replication_configuration.rs
+++ b/crates/core/tests/replication_configuration.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of the configuration leads to the configuration itself, and to nothing else.
+//! Configuration updates between nodes result in exactly the sender's configuration, or are rejected.
 
 mod support {
     pub mod relay_fixture;
@@ -59,8 +59,8 @@
     let property = |random: &mut Unstructured<'_>| {
         let (base, target) = (any_configuration(3, random)?, any_configuration(7, random)?);
         let sent = changes(&base, &target).write_to_vec().expect("it can be written");
-        let news = ConfigurationUpdate::read_from_buffer(&sent).expect("it can be read");
-        assert_eq!(news.apply(Some(&base)), Ok(target));
+        let update = ConfigurationUpdate::read_from_buffer(&sent).expect("it can be read");
+        assert_eq!(update.apply(Some(&base)), Ok(target));
         Ok(())
     };
     for start in 1..=200 {
@@ -69,22 +69,22 @@
 }
 
 #[test]
-fn changes_of_another_configuration_are_not_followed() {
+fn changes_to_a_different_configuration_are_rejected() {
     let base = configuration(3, &[1, 2, 3], None);
     let target = configuration(4, &[1, 2, 3, 4], None);
-    let news = || changes(&base, &target);
-    assert_eq!(news().apply(None), Err(InvalidUpdate::AnotherBase));
+    let update = || changes(&base, &target);
+    assert_eq!(update().apply(None), Err(InvalidUpdate::BaseMismatch));
     let older = configuration(2, &[1, 2, 3], None);
-    assert_eq!(news().apply(Some(&older)), Err(InvalidUpdate::AnotherBase));
-    let namesake = configuration(3, &[1, 2, 5], None);
-    assert_eq!(news().apply(Some(&namesake)), Err(InvalidUpdate::AnotherResult));
+    assert_eq!(update().apply(Some(&older)), Err(InvalidUpdate::BaseMismatch));
+    let same_version = configuration(3, &[1, 2, 5], None);
+    assert_eq!(update().apply(Some(&same_version)), Err(InvalidUpdate::ResultMismatch));
     let shorter = configuration(3, &[1], None);
-    assert_eq!(news().apply(Some(&shorter)), Err(InvalidUpdate::AnotherBase));
-    assert_eq!(news().apply(Some(&base)), Ok(target));
+    assert_eq!(update().apply(Some(&shorter)), Err(InvalidUpdate::BaseMismatch));
+    assert_eq!(update().apply(Some(&base)), Ok(target));
 }
 
 #[test]
-fn a_list_is_told_by_what_is_new_in_it() {
+fn list_changes_contain_only_new_items() {
     let base: Vec<u32> = (0..4_000).collect();
     let mut target = base.clone();
     target.splice(1_000..1_001, [9_001, 9_002]);
@@ -94,12 +94,12 @@
 }
 
 #[test]
-fn arbitrary_bytes_are_no_news_and_no_panic() {
+fn arbitrary_bytes_are_rejected_without_a_panic() {
     let base = configuration(3, &[1, 2, 3], Some(&[1]));
     let property = |random: &mut Unstructured<'_>| {
         let bytes: Vec<u8> = random.arbitrary()?;
         if let Ok(ConfigurationUpdate::Changes(changes)) = ConfigurationUpdate::read_from_buffer(&bytes) {
-            // Whatever they are, they were not made for this configuration.
+            // Arbitrary changes are not made for this configuration.
             assert!(ConfigurationUpdate::Changes(changes).apply(Some(&base)).is_err());
         }
         Ok(())
@@ -119,17 +119,17 @@
 }
 
 #[test]
-fn a_node_that_is_some_steps_behind_is_told_just_these() {
+fn a_node_that_is_some_steps_behind_gets_only_these_steps() {
     let mut history = ConfigurationHistory::default();
     for (base, version) in [(3, 5), (5, 6), (6, 9)] {
         history.push(ConfigurationNumber(base), step(version, 10));
     }
     assert_eq!(versions_since(&history, 3), Some(vec![5, 6, 9]));
     assert_eq!(versions_since(&history, 6), Some(vec![9]));
-    assert_eq!(versions_since(&history, 4), None, "that one was never in force here");
+    assert_eq!(versions_since(&history, 4), None, "that version was never in force here");
     assert_eq!(versions_since(&history, 9), None);
     history.push(ConfigurationNumber(11), step(12, 10));
-    assert_eq!(versions_since(&history, 6), None, "the way from 9 to 11 is not known");
+    assert_eq!(versions_since(&history, 6), None, "the step from 9 to 11 is not known");
     assert_eq!(versions_since(&history, 11), Some(vec![12]));
 }
 
--- a/crates/core/tests/support/relay_fixture.rs
+++ b/crates/core/tests/support/relay_fixture.rs
@@ -1,4 +1,4 @@
-//! Back ends and routes for tests of the relay's decisions.
+//! Fixtures for tests of the relay's decisions: back ends and routes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use havengate_core::routing::{RequestKind, Route, WeightedService};
 use havengate_core::world::Address;
 
-/// A back end of the service `model` at an address of its own.
+/// A back end of the service `model`, with an address derived from `number`.
 #[allow(dead_code, reason = "not each test binary uses each part of the fixture")]
 pub fn back_end(number: u8, stage: Option<EngineStage>) -> BackEnd {
     BackEnd {
@@ -22,7 +22,7 @@
     }
 }
 
-/// A route for `host` below `path_prefix`, to one service for each weight.
+/// A route for `host` and `path_prefix` to one service per weight.
 #[allow(dead_code, reason = "not each test binary uses each part of the fixture")]
 pub fn route(host: &str, path_prefix: &str, weights: &[u32]) -> Route {
     let service = |(index, weight): (usize, &u32)| WeightedService {
