--- a/crates/core/src/replication/list_changes.rs
+++ b/crates/core/src/replication/list_changes.rs
@@ -10,7 +10,7 @@
 pub enum ListStep<T> {
     /// A range of items of the base list.
     Keep {
-        /// Index of the first item.
+        /// Index of the first item, from 0.
         from: u32,
         /// Number of items.
         count: u32,
