--- a/crates/relay/src/control/block_keeper.rs
+++ b/crates/relay/src/control/block_keeper.rs
@@ -46,22 +46,22 @@
 /// The traffic thread's end of the way to the store.
 pub struct BlockStoreLink {
     /// Takes what is to be written.
-    pub news: mpsc::Sender<BlockUpdate>,
+    pub updates: mpsc::Sender<BlockUpdate>,
     /// Hands out what was read at the start.
-    pub kept: mpsc::Receiver<TerminationNotice>,
+    pub stored: mpsc::Receiver<TerminationNotice>,
 }
 
 /// The control thread's end.
 pub struct BlockKeeperLink {
-    news: mpsc::Receiver<BlockUpdate>,
-    kept: mpsc::Sender<TerminationNotice>,
+    updates: mpsc::Receiver<BlockUpdate>,
+    stored: mpsc::Sender<TerminationNotice>,
 }
 
 /// The way between the traffic thread and the store.
 pub fn block_links() -> (BlockStoreLink, BlockKeeperLink) {
-    let (news_sender, news) = mpsc::channel(NEWS_MAXIMUM);
-    let (kept_sender, kept) = mpsc::channel(NEWS_MAXIMUM);
-    (BlockStoreLink { news: news_sender, kept }, BlockKeeperLink { news, kept: kept_sender })
+    let (updates_sender, updates) = mpsc::channel(NEWS_MAXIMUM);
+    let (stored_sender, stored) = mpsc::channel(NEWS_MAXIMUM);
+    (BlockStoreLink { updates: updates_sender, stored }, BlockKeeperLink { updates, stored: stored_sender })
 }
 
 /// What a node remembers of what it has written; a store that goes back to an older copy may have lost it.
@@ -91,7 +91,7 @@
     keeper.read(&link, own).await;
     loop {
         tokio::select! {
-            news = link.news.recv() => match news {
+            news = link.updates.recv() => match news {
                 Some(BlockUpdate::Blocked { content, ends }) => {
                     let record = BlockRecord { content, written_millis: unix_millis(), ends };
                     keeper.write(content, Some(record)).await;
@@ -118,7 +118,7 @@
             }
             log::info!(event = "block_read", content:% = record.content, age_ms = whole_millis(age); "");
             // The process is ending when nobody takes it.
-            let _ = link.kept.send(notice_of(record, age, own)).await;
+            let _ = link.stored.send(notice_of(record, age, own)).await;
         }
     }
 
--- a/crates/relay/src/control/duties/lease_keeper.rs
+++ b/crates/relay/src/control/duties/lease_keeper.rs
@@ -95,7 +95,7 @@
                 self.metrics.record_store_call("lease_read", "ok");
                 let spoiled_before = self.lease.spoiled_at();
                 let era = read.version.era;
-                self.learner.note_era(era);
+                self.learner.observe_era(era);
                 if let Some(since) = self.learner.era_known_since(era) {
                     self.lease.note_era(era, since);
                 }
--- a/crates/relay/src/control/learner.rs
+++ b/crates/relay/src/control/learner.rs
@@ -20,8 +20,8 @@
 use havengate_wire::unpack;
 use tokio::sync::watch;
 
-use super::heard_eras::ObservedEras;
-use super::tellable_news::{AnnounceableUpdates, pack_step};
+use super::announceable_updates::{AnnounceableUpdates, pack_step};
+use super::observed_eras::ObservedEras;
 use crate::knowledge::{ActiveConfiguration, AnnouncedChange, Knowledge, SharedKnowledge, SharedMoment};
 use crate::metrics::RelayMetrics;
 
@@ -116,7 +116,7 @@
     }
 
     /// Notes that somebody tells this era of the store. It is a reason to ask, and nothing that is believed.
-    pub fn note_era(&self, era: StoreEra) {
+    pub fn observe_era(&self, era: StoreEra) {
         self.heard_eras.note(era, self.clock.now());
     }
 
@@ -173,7 +173,7 @@
 
     /// Notes the same of a position that the store has just told, also one before that of its former life.
     pub fn set_configuration_at(&self, position: Position) {
-        self.note_era(position.era);
+        self.observe_era(position.era);
         self.configuration_at.set(Some(position));
     }
 
@@ -282,7 +282,7 @@
         let (position, back_ends, spoiled) = (listing.position, listing.back_ends.len(), listing.spoiled.len());
         let own = self.directory.borrow().position();
         let is_behind = self.directory.borrow().is_behind(position);
-        self.note_era(position.era);
+        self.observe_era(position.era);
         self.note_new_lives(position, &listing.back_ends);
         if !take(&mut self.directory.borrow_mut(), listing, self.clock.now()) {
             self.note_old_news(position, own, source);
@@ -428,7 +428,7 @@
     }
 
     /// Takes in which engines are about to change their stage, unless a holder with a higher term has told since.
-    pub fn note_changing(&self, engines: Vec<(BackEndId, EngineStage)>, term: Term) -> bool {
+    pub fn apply_announced_changes(&self, engines: Vec<(BackEndId, EngineStage)>, term: Term) -> bool {
         if term < self.stages_term.get() {
             return false;
         }
--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -1,16 +1,16 @@
 //! The control thread: it follows the store and the peers, and publishes what it knows.
 
+mod announceable_updates;
 mod block_keeper;
 mod duties;
 mod feed;
 mod fetcher;
 mod follower;
-mod heard_eras;
 mod learner;
+mod observed_eras;
 mod peers;
 mod reader_role;
 mod stages;
-mod tellable_news;
 mod thread;
 mod transfer;
 
--- a/crates/relay/src/control/peers.rs
+++ b/crates/relay/src/control/peers.rs
@@ -181,7 +181,7 @@
                 self.metrics.record_dropped_message("unknown_sender");
             }
             PeerMessage::Stages(notice) => {
-                if !self.learner.note_changing(notice.engines, notice.term) {
+                if !self.learner.apply_announced_changes(notice.engines, notice.term) {
                     self.metrics.record_dropped_message("overtaken");
                 }
             }
--- a/crates/relay/src/control/stages/steering.rs
+++ b/crates/relay/src/control/stages/steering.rs
@@ -241,7 +241,7 @@
         self.announced_at = Some(now);
         let open = self.changes.open();
         let engines: Vec<(BackEndId, EngineStage)> = open.map(|change| (change.engine.clone(), change.to)).collect();
-        self.learner.note_changing(engines.clone(), term);
+        self.learner.apply_announced_changes(engines.clone(), term);
         let notice = StageNotice { sender: self.own, term, engines };
         self.peers.send_to(&PeerMessage::Stages(notice), &self.peers.recent(now)).await;
     }
--- a/crates/relay/src/engine_ends.rs
+++ b/crates/relay/src/engine_ends.rs
@@ -138,8 +138,8 @@
 
     /// Takes in for ever what the store has kept, and has it keep what this node finds out.
     pub async fn keep_in_store(self, mut link: BlockStoreLink) {
-        *self.shared.store.borrow_mut() = Some(link.news);
-        while let Some(notice) = link.kept.recv().await {
+        *self.shared.store.borrow_mut() = Some(link.updates);
+        while let Some(notice) = link.stored.recv().await {
             self.take_in(&notice, "store");
         }
     }
