--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -19,4 +19,4 @@
 pub use learner::{Learner, Source};
 pub use peers::PeerExchange;
 pub use thread::{ControlHandle, ControlSettings, Platform, SharedWithTraffic, spawn};
-pub use transfer::{Patience, PeersError, Progress, SILENCE_LIMIT, WHOLE_LIMIT, read_message, write_message};
+pub use transfer::{IDLE_TIME_LIMIT, MESSAGE_TIME_LIMIT, Patience, PeersError, Progress, read_message, write_message};
--- a/crates/relay/src/control/transfer.rs
+++ b/crates/relay/src/control/transfer.rs
@@ -56,7 +56,7 @@
 impl Patience {
     /// Patience with a peer that may take `first` before its first byte.
     pub fn with(first: Duration) -> Self {
-        Patience { first, silence: SILENCE_LIMIT, whole: first + WHOLE_LIMIT }
+        Patience { first, silence: IDLE_TIME_LIMIT, whole: first + MESSAGE_TIME_LIMIT }
     }
 }
 
@@ -64,10 +64,10 @@
 pub const CONNECT_TIME_LIMIT: Duration = Duration::from_millis(300);
 
 /// The longest silence within a message: some times the 200 ms after which a lost packet is sent again at the earliest.
-pub const SILENCE_LIMIT: Duration = Duration::from_secs(1);
+pub const IDLE_TIME_LIMIT: Duration = Duration::from_secs(1);
 
 /// The longest time of a whole message: a megabyte at 1 Mbit/s.
-pub const WHOLE_LIMIT: Duration = Duration::from_secs(8);
+pub const MESSAGE_TIME_LIMIT: Duration = Duration::from_secs(8);
 
 /// The deadlines of one message.
 struct Deadlines {
