--- a/crates/relay/src/control/announceable_updates.rs
+++ b/crates/relay/src/control/announceable_updates.rs
@@ -1,52 +1,54 @@
-//! What other nodes are told of the configuration in force: packed once, however many ask.
+//! Configuration updates for other nodes, packed once however many nodes ask.
 
 use havengate_core::replication::{ConfigurationChanges, ConfigurationHistory, ConfigurationUpdate, PackedUpdate};
 use havengate_core::routing::{ConfigurationNumber, TrafficConfiguration};
 use havengate_wire::pack;
 
-/// What other nodes are told of the configuration in force.
+/// The updates that lead other nodes to the active configuration.
 #[derive(Default)]
 pub struct AnnounceableUpdates {
-    /// The last steps to it.
+    /// The latest incremental updates to it.
     history: ConfigurationHistory,
-    /// All of it, once somebody has asked for that.
-    whole: Option<PackedUpdate>,
+    /// The full configuration, packed when a peer first needs it.
+    full: Option<PackedUpdate>,
 }
 
 impl AnnounceableUpdates {
-    /// Notes that another configuration has come in force after `base`, by `news` where there are any.
-    pub fn stepped(&mut self, base: ConfigurationNumber, news: Option<PackedUpdate>) {
-        self.whole = None;
-        match news {
-            Some(news) => self.history.push(base, news),
+    /// Records that another configuration has replaced `base`, and the update between them if there is one.
+    pub fn record_activation(&mut self, base: ConfigurationNumber, update: Option<PackedUpdate>) {
+        self.full = None;
+        match update {
+            Some(update) => self.history.push(base, update),
             None => self.history = ConfigurationHistory::default(),
         }
     }
 
-    /// The way from `base` to `configuration`, the one in force: the steps where they are kept, else all of it.
+    /// The updates from `base` to the active `configuration`: the incremental ones if they are retained, otherwise the
+    /// full configuration.
     pub fn since(&mut self, base: ConfigurationNumber, configuration: &TrafficConfiguration) -> Vec<PackedUpdate> {
         if configuration.version <= base {
             return Vec::new();
         }
-        if let Some(steps) = self.history.since(base) {
-            return steps;
+        if let Some(updates) = self.history.since(base) {
+            return updates;
         }
-        if self.whole.is_none() {
-            self.whole = packed(configuration.version, &ConfigurationUpdate::Full(configuration.clone()));
+        if self.full.is_none() {
+            self.full = pack_update(configuration.version, &ConfigurationUpdate::Full(configuration.clone()));
         }
-        self.whole.clone().into_iter().collect()
+        self.full.clone().into_iter().collect()
     }
 }
 
-/// The step from `base` to `target`; `None` where it can't be told: peers are told all of `target` then.
-pub fn pack_step(base: &TrafficConfiguration, target: &TrafficConfiguration) -> Option<PackedUpdate> {
+/// Packs the update from `base` to `target`; `None` if it can't be expressed, in which case peers are sent all of
+/// `target`.
+pub fn pack_changes(base: &TrafficConfiguration, target: &TrafficConfiguration) -> Option<PackedUpdate> {
     let changes = ConfigurationChanges::between(base, target)?;
-    packed(target.version, &ConfigurationUpdate::Changes(changes))
+    pack_update(target.version, &ConfigurationUpdate::Changes(changes))
 }
 
-/// News as they are sent; `None`, with a log line, where they can't be: peers then have to ask the store.
-fn packed(version: ConfigurationNumber, news: &ConfigurationUpdate) -> Option<PackedUpdate> {
-    match pack(news) {
+/// Packs an update for sending; `None`, with a log line, if that fails: peers then have to ask the store.
+fn pack_update(version: ConfigurationNumber, update: &ConfigurationUpdate) -> Option<PackedUpdate> {
+    match pack(update) {
         Ok(bytes) => Some(PackedUpdate { version, bytes }),
         Err(error) => {
             log::error!(event = "configuration_not_packed", version = version.0, error:% = error; "");
--- a/crates/relay/src/control/block_keeper.rs
+++ b/crates/relay/src/control/block_keeper.rs
@@ -1,7 +1,7 @@
-//! Blocked requests in the store, where they outlast all nodes.
+//! Stores blocked requests in the platform's store, so that they outlive all nodes.
 //!
-//! Nodes tell each other of what is blocked. When all of them end at once nobody knows any more, and a request that ends
-//! engines would end as many again as it took to find it out.
+//! Nodes announce blocked requests to each other. If all nodes stopped at once without a stored copy, the knowledge
+//! would be lost, and a request that terminates engines would terminate as many again before it is detected.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -16,71 +16,72 @@
 use crate::metrics::RelayMetrics;
 use crate::protocol::{BlockRecord, ControlStore, StoreError};
 
-/// What waits to be written at most; more is dropped, and only told to peers.
-const NEWS_MAXIMUM: usize = 64;
+/// The most updates that wait to be written. Further ones are dropped and only announced to peers.
+const PENDING_UPDATES_MAXIMUM: usize = 64;
 
-/// The pause after a call to the store failed, doubled with each failure up to the maximum.
+/// The pause after a failed call to the store, doubled with each failure up to the maximum.
 const PAUSE_MINIMUM: Duration = Duration::from_millis(400);
 const PAUSE_MAXIMUM: Duration = Duration::from_secs(4);
 
-/// How often a call is tried: some minute, longer than the store is away on an ordinary day.
-const TRIES: u32 = 16;
+/// The number of attempts per call. They span about a minute, longer than an ordinary outage of the store.
+const ATTEMPTS_MAXIMUM: u32 = 16;
 
-/// A record that is older is of no use to anybody: whoever still knows of the request keeps it by itself.
-const RECORD_KEPT: Duration = Duration::from_secs(7_200);
+/// Older records are removed: a node that still tracks the request has it in its own state.
+const RECORD_RETENTION: Duration = Duration::from_secs(7_200);
 
-/// What the traffic thread has learned of a request.
+/// A change in whether a request is blocked, as detected by the traffic thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BlockUpdate {
-    /// It is blocked from now on.
+    /// The request is blocked from now on.
     Blocked {
         /// The request.
         content: ContentId,
-        /// The engines that ended under it.
+        /// The engines that terminated while running it.
         ends: Vec<ReportedTermination>,
     },
-    /// It was blocked, and was answered whole.
+    /// The request was blocked, and has now been answered in full.
     Cleared(ContentId),
 }
 
-/// The traffic thread's end of the way to the store.
+/// The traffic thread's end of the channels to the store.
 pub struct BlockStoreLink {
-    /// Takes what is to be written.
+    /// Accepts updates to be written.
     pub updates: mpsc::Sender<BlockUpdate>,
-    /// Hands out what was read at the start.
+    /// Yields the records that were read at startup.
     pub stored: mpsc::Receiver<TerminationNotice>,
 }
 
-/// The control thread's end.
+/// The control thread's end of the channels.
 pub struct BlockKeeperLink {
     updates: mpsc::Receiver<BlockUpdate>,
     stored: mpsc::Sender<TerminationNotice>,
 }
 
-/// The way between the traffic thread and the store.
+/// Creates the channels between the traffic thread and the block keeper.
 pub fn block_links() -> (BlockStoreLink, BlockKeeperLink) {
-    let (updates_sender, updates) = mpsc::channel(NEWS_MAXIMUM);
-    let (stored_sender, stored) = mpsc::channel(NEWS_MAXIMUM);
+    let (updates_sender, updates) = mpsc::channel(PENDING_UPDATES_MAXIMUM);
+    let (stored_sender, stored) = mpsc::channel(PENDING_UPDATES_MAXIMUM);
     (BlockStoreLink { updates: updates_sender, stored }, BlockKeeperLink { updates, stored: stored_sender })
 }
 
-/// What a node remembers of what it has written; a store that goes back to an older copy may have lost it.
-const WRITTEN_MAXIMUM: usize = 256;
+/// The most written records that a node remembers, since a store restored from an older snapshot may have lost them.
+const REMEMBERED_WRITES_MAXIMUM: usize = 256;
 
-/// Writes again come within this time after the store went back, at a random moment: many nodes may have something to write.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(2);
+/// The longest random delay before records are rewritten after a restore of the store. It spreads the load, as many
+/// nodes may have records to write.
+const REWRITE_DELAY_MAXIMUM: Duration = Duration::from_secs(2);
 
-/// Writes what this node finds out of requests, and again what the store has lost of it.
+/// Writes the blocks that this node detects, and rewrites them after a restore of the store.
 struct BlockKeeper<S> {
     store: S,
     metrics: RelayMetrics,
-    /// The last of what was written: a record that was kept, or `None` for one that was removed.
+    /// The last write for each request: the stored record, or `None` if it was removed.
     written: BTreeMap<ContentId, Option<BlockRecord>>,
 }
 
-/// Reads what is blocked once, at the start, then writes for ever what this node finds out; and writes it again in each further one of the
-/// store's `eras`.
-pub async fn keep_blocks<S: ControlStore>(
+/// Reads the blocked requests once at startup, then writes this node's updates until the process stops. Rewrites them
+/// whenever a newer one of the store's `eras` is observed.
+pub async fn run_block_keeper<S: ControlStore>(
     store: S,
     mut link: BlockKeeperLink,
     own: Address,
@@ -91,71 +92,71 @@
     keeper.read(&link, own).await;
     loop {
         tokio::select! {
-            news = link.updates.recv() => match news {
+            update = link.updates.recv() => match update {
                 Some(BlockUpdate::Blocked { content, ends }) => {
                     let record = BlockRecord { content, written_millis: unix_millis(), ends };
                     keeper.write(content, Some(record)).await;
                 }
                 Some(BlockUpdate::Cleared(content)) => keeper.write(content, None).await,
-                // The process is ending.
+                // The process is stopping.
                 None => return,
             },
             // The sender lives as long as the control thread.
-            _ = eras.changed() => keeper.write_again().await,
+            _ = eras.changed() => keeper.rewrite_all().await,
         }
     }
 }
 
 impl<S: ControlStore> BlockKeeper<S> {
     async fn read(&mut self, link: &BlockKeeperLink, own: Address) {
-        let listed = persist(&self.metrics, "blocks_read", async || self.store.list_blocks().await).await;
+        let listed = call_with_retries(&self.metrics, "blocks_read", async || self.store.list_blocks().await).await;
         for record in listed.unwrap_or_default() {
             let age = Duration::from_millis(unix_millis().saturating_sub(record.written_millis));
-            if age >= RECORD_KEPT {
+            if age >= RECORD_RETENTION {
                 let removed = async || self.store.remove_block(record.content).await;
-                persist(&self.metrics, "block_remove", removed).await;
+                call_with_retries(&self.metrics, "block_remove", removed).await;
                 continue;
             }
             log::info!(event = "block_read", content:% = record.content, age_ms = whole_millis(age); "");
-            // The process is ending when nobody takes it.
-            let _ = link.stored.send(notice_of(record, age, own)).await;
+            // The receiver is dropped only when the process stops.
+            let _ = link.stored.send(notice_from_record(record, age, own)).await;
         }
     }
 
     async fn write(&mut self, content: ContentId, record: Option<BlockRecord>) {
         match &record {
             Some(record) => {
-                persist(&self.metrics, "block_write", async || self.store.keep_block(record).await).await;
+                call_with_retries(&self.metrics, "block_write", async || self.store.keep_block(record).await).await;
             }
             None => {
-                persist(&self.metrics, "block_remove", async || self.store.remove_block(content).await).await;
+                call_with_retries(&self.metrics, "block_remove", async || self.store.remove_block(content).await).await;
             }
         }
-        if self.written.len() >= WRITTEN_MAXIMUM {
+        if self.written.len() >= REMEMBERED_WRITES_MAXIMUM {
             self.written.pop_first();
         }
         self.written.insert(content, record);
     }
 
-    async fn write_again(&mut self) {
+    async fn rewrite_all(&mut self) {
         if self.written.is_empty() {
             return;
         }
         log::info!(event = "blocks_written_again", blocks = self.written.len(); "");
-        sleep(WRITTEN_AGAIN_WITHIN.mul_f64(fastrand::f64())).await;
+        sleep(REWRITE_DELAY_MAXIMUM.mul_f64(fastrand::f64())).await;
         for (content, record) in self.written.clone() {
             self.write(content, record).await;
         }
     }
 }
 
-/// Makes a call until it succeeds, or has been tried often enough.
-async fn persist<T>(
+/// Retries a call until it succeeds or the attempts are used up; `None` in the latter case.
+async fn call_with_retries<T>(
     metrics: &RelayMetrics,
     call: &'static str,
     mut make: impl AsyncFnMut() -> Result<T, StoreError>,
 ) -> Option<T> {
-    for tries in 0..TRIES {
+    for attempt in 0..ATTEMPTS_MAXIMUM {
         match make().await {
             Ok(answer) => {
                 metrics.record_store_call(call, "ok");
@@ -163,7 +164,7 @@
             }
             Err(error) => {
                 metrics.record_store_call(call, "failed");
-                let pause = doubled(PAUSE_MINIMUM, tries, PAUSE_MAXIMUM);
+                let pause = doubled(PAUSE_MINIMUM, attempt, PAUSE_MAXIMUM);
                 log::warn!(event = "block_store_failed", call, error:% = error, pause_ms = whole_millis(pause); "");
                 sleep(pause.mul_f64(0.5 + fastrand::f64())).await;
             }
@@ -172,15 +173,15 @@
     None
 }
 
-/// What a record tells, as a peer would tell it now.
-fn notice_of(record: BlockRecord, age: Duration, sender: Address) -> TerminationNotice {
+/// Converts a record to the notice that a peer would send now.
+fn notice_from_record(record: BlockRecord, age: Duration, sender: Address) -> TerminationNotice {
     let age_micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
-    let older =
+    let aged =
         |end: ReportedTermination| ReportedTermination { age_micros: end.age_micros.saturating_add(age_micros), ..end };
-    TerminationNotice { sender, ends: record.ends.into_iter().map(older).collect(), served: Vec::new() }
+    TerminationNotice { sender, ends: record.ends.into_iter().map(aged).collect(), served: Vec::new() }
 }
 
-/// The time of day. A few seconds more or less make a block as much longer or shorter.
+/// The wall-clock time. A clock error of a few seconds lengthens or shortens a block by as much.
 fn unix_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, whole_millis)
 }
--- a/crates/relay/src/control/feed.rs
+++ b/crates/relay/src/control/feed.rs
@@ -1,4 +1,4 @@
-//! Learning from readers of the store: connections over which they tell what is new as soon as they know it.
+//! Connections to store readers, over which they send updates as soon as they have them.
 
 use std::time::Duration;
 
@@ -8,29 +8,30 @@
 use super::fetcher::ConfigurationFetcher;
 use super::learner::Learner;
 use super::reader_role::ReaderRole;
-use super::transfer::{CONNECT_TIME_LIMIT, Patience, PeersError, ask, connect};
+use super::transfer::{CONNECT_TIME_LIMIT, PeersError, TransferTimeouts, ask, connect};
 
-/// The longest that a reader waits for news before it answers, and so confirms what this node knows.
+/// The longest that a reader waits for an update before it answers. An answer without one confirms this node's
+/// knowledge.
 const FEED_WAIT: Duration = Duration::from_millis(400);
 
-/// How long the first byte of an answer may be on its way beyond the wait.
+/// The time limit for the first byte of an answer, in addition to the wait.
 const ANSWER_TIME_LIMIT: Duration = Duration::from_millis(500);
 
-/// How often a node looks for a reader that feeds it.
-const CHOICE_PAUSE: Duration = Duration::from_millis(100);
+/// How often a node without a feed checks for a reader.
+const FEED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause after a reader could not be reached: it may be the only one.
+/// The pause after a failure to reach a reader. The next choice may be the same reader, if it is the only one.
 const FAILURE_PAUSE: Duration = Duration::from_millis(300);
 
-/// Learns for ever from the reader in the place `slot` of this node's feeds, whichever that is.
+/// Learns continuously from the reader that is at index `slot` of this node's feeds at the time.
 pub async fn learn_from_feed(slot: usize, role: ReaderRole, learner: Learner, fetcher: ConfigurationFetcher) {
     loop {
         let Some(reader) = role.feed(slot) else {
-            sleep(CHOICE_PAUSE).await;
+            sleep(FEED_CHECK_INTERVAL).await;
             continue;
         };
-        match follow(reader, slot, &role, &learner, &fetcher).await {
-            // Another reader is to feed this node from now on.
+        match follow_reader(reader, slot, &role, &learner, &fetcher).await {
+            // Another reader is now assigned to this slot.
             Ok(()) => {}
             Err(error) => {
                 role.suspend(reader);
@@ -41,7 +42,7 @@
     }
 }
 
-async fn follow(
+async fn follow_reader(
     reader: Address,
     slot: usize,
     role: &ReaderRole,
@@ -51,17 +52,18 @@
     let mut stream = connect(reader, CONNECT_TIME_LIMIT).await?;
     let mut is_first = true;
     while role.feed(slot) == Some(reader) {
-        // The first answer comes at once and shows whether the reader knows anything.
+        // The first pull does not wait: its answer shows whether the reader has any knowledge.
         let wait = if is_first { Duration::ZERO } else { FEED_WAIT };
         let asked_at = learner.clock().now();
-        let patience = Patience::with(wait + ANSWER_TIME_LIMIT);
+        let timeouts = TransferTimeouts::with_first_byte(wait + ANSWER_TIME_LIMIT);
         let pull = learner.pull_for(reader, learner.pull_of_directory(wait));
-        let answer = learner.placed(reader, ask(&mut stream, &pull, patience).await?);
+        let answer = learner.with_own_era(reader, ask(&mut stream, &pull, timeouts).await?);
         let confirmed_at = learner.confirmed_at(&answer, asked_at, answer.ages.directory_millis);
-        fetcher.note_configuration_of(reader, answer.newest);
-        learner.learn(answer, asked_at);
+        fetcher.record_configuration_of(reader, answer.newest);
+        learner.apply_answer(answer, asked_at);
         if role.is_stale(confirmed_at) {
-            // Another reader may know more; when none is better, this one tells as soon as it has the store again.
+            // Another reader may have newer knowledge. If none has, this one is used again and sends updates as soon as
+            // it reaches the store.
             role.suspend(reader);
         }
         is_first = false;
--- a/crates/relay/src/control/fetcher.rs
+++ b/crates/relay/src/control/fetcher.rs
@@ -1,6 +1,6 @@
-//! Fetching a newer configuration from a node that has it: from one node at a time, whoever tells of it.
+//! Fetches a newer configuration from a peer that has it, from one peer at a time however many announce it.
 //!
-//! Copies over the same link side by side would each take as many times as long as there are of them.
+//! Parallel transfers share the bandwidth of the link, so each would take as many times longer as there are transfers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,66 +12,67 @@
 use tokio::sync::Notify;
 
 use super::learner::Learner;
-use super::transfer::{CONNECT_TIME_LIMIT, Patience, PeersError, ask, connect};
+use super::transfer::{CONNECT_TIME_LIMIT, PeersError, TransferTimeouts, ask, connect};
 
-/// How long a node may take before its first byte: many ask it at the same moment, and its link may be narrow. Together with
-/// the time to connect it is less than the two seconds in which a change is to be in force.
+/// The time limit for a peer's first byte: many nodes ask it at the same moment, and its link may be slow. Together
+/// with the connect time limit it is below the two seconds within which a configuration change must be active.
 const FIRST_BYTE_LIMIT: Duration = Duration::from_secs(1);
 
-/// Fetches newer configurations. Copies share it.
+/// Fetches newer configurations. Clones share the state.
 #[derive(Clone)]
 pub struct ConfigurationFetcher {
     learner: Learner,
-    /// The nodes that have told of a newer configuration than this node's.
-    ahead: Rc<RefCell<BTreeMap<Address, ConfigurationNumber>>>,
-    noted: Rc<Notify>,
+    /// The peers that have announced a newer configuration than this node's.
+    peers_ahead: Rc<RefCell<BTreeMap<Address, ConfigurationNumber>>>,
+    peer_added: Rc<Notify>,
 }
 
 impl ConfigurationFetcher {
-    /// A fetcher for `learner`.
+    /// Creates a fetcher that passes answers to `learner`.
     pub fn new(learner: Learner) -> Self {
-        ConfigurationFetcher { learner, ahead: Rc::default(), noted: Rc::default() }
+        ConfigurationFetcher { learner, peers_ahead: Rc::default(), peer_added: Rc::default() }
     }
 
-    /// Notes which configuration a peer has; a newer one is fetched.
-    pub fn note_configuration_of(&self, peer: Address, version: ConfigurationNumber) {
+    /// Records which configuration a peer has; a newer one is fetched.
+    pub fn record_configuration_of(&self, peer: Address, version: ConfigurationNumber) {
         if version > self.learner.knowledge().configuration_number() {
-            self.ahead.borrow_mut().insert(peer, version);
-            self.noted.notify_one();
+            self.peers_ahead.borrow_mut().insert(peer, version);
+            self.peer_added.notify_one();
         }
     }
 
-    /// Fetches for ever.
+    /// Fetches newer configurations as they are announced; never returns.
     pub async fn run(self) {
         loop {
-            self.noted.notified().await;
-            while let Some(peer) = self.source() {
+            self.peer_added.notified().await;
+            while let Some(peer) = self.choose_source() {
                 if let Err(error) = self.fetch_from(peer).await {
-                    // The peer tells again of what it has, or another one does.
-                    self.ahead.borrow_mut().remove(&peer);
+                    // The peer announces its configuration again, or another one does.
+                    self.peers_ahead.borrow_mut().remove(&peer);
                     log::warn!(event = "pull_failed", peer:% = peer, error:% = error; "");
                 }
             }
         }
     }
 
-    /// One of the nodes that are ahead of this one, so that not all nodes ask the same one.
-    fn source(&self) -> Option<Address> {
+    /// Chooses a random peer that is ahead of this node, so that not all nodes ask the same one.
+    fn choose_source(&self) -> Option<Address> {
         let own = self.learner.knowledge().configuration_number();
-        let mut ahead = self.ahead.borrow_mut();
-        ahead.retain(|_, version| *version > own);
-        fastrand::choice(ahead.keys().copied())
+        let mut peers_ahead = self.peers_ahead.borrow_mut();
+        peers_ahead.retain(|_, version| *version > own);
+        fastrand::choice(peers_ahead.keys().copied())
     }
 
     async fn fetch_from(&self, peer: Address) -> Result<(), PeersError> {
         let mut stream = connect(peer, CONNECT_TIME_LIMIT).await?;
         let asked_at = self.learner.clock().now();
-        let patience = Patience::with(FIRST_BYTE_LIMIT);
+        let timeouts = TransferTimeouts::with_first_byte(FIRST_BYTE_LIMIT);
         let pull = self.learner.pull_for(peer, self.learner.pull_of_configuration());
-        let answer = self.learner.placed(peer, ask(&mut stream, &pull, patience).await?);
-        // A peer that has less than it told, or whose news can't be used, isn't asked again before it tells anew.
-        self.ahead.borrow_mut().remove(&peer);
-        self.learner.learn(answer, asked_at);
+        let answer = self.learner.with_own_era(peer, ask(&mut stream, &pull, timeouts).await?);
+        // A peer that has less than it announced, or whose update is invalid, isn't asked again before its next
+        // announcement.
+        self.peers_ahead.borrow_mut().remove(&peer);
+        self.learner.apply_answer(answer, asked_at);
         Ok(())
     }
 }
--- a/crates/relay/src/control/follower.rs
+++ b/crates/relay/src/control/follower.rs
@@ -1,5 +1,5 @@
-//! Follows the directory and the configuration in the store, where that is this node's to do: read once, then watch; read
-//! again when history is lost.
+//! Follows the directory and the configuration in the store while this node's role requires it: reads once, then
+//! watches, and reads again when the store has lost its history.
 
 use std::time::Duration;
 
@@ -13,57 +13,65 @@
 use crate::metrics::RelayMetrics;
 use crate::protocol::{ControlStore, StoreError};
 
-/// How long a watch waits. Its end confirms what is known, at this node and at those that it feeds, so it bounds the age of
-/// their knowledge; a watch that was cut in silence is noticed after this time and a little more.
+/// How long a watch waits. Its end confirms the knowledge of this node and of those that it feeds, so it bounds the age
+/// of that knowledge. A watch whose connection is lost silently is detected slightly later than this.
 const WATCH_WAIT: Duration = Duration::from_millis(800);
 
-/// Changes that come together are taken together: each call has a price. Far below the time in which a back end that
-/// leaves must get nothing new.
+/// The pause between calls, which batches changes because each call has a cost. It is far below the time within which a
+/// draining back end must stop receiving new requests.
 const DIRECTORY_PAUSE: Duration = Duration::from_millis(150);
 
-/// How often a node that does not read the store looks whether it has to.
+/// How often a node that does not read the store checks whether it has to.
 const IDLE_PAUSE: Duration = Duration::from_millis(50);
 
 const BACK_OFF_MINIMUM: Duration = Duration::from_millis(60);
 const BACK_OFF_MAXIMUM: Duration = Duration::from_millis(500);
 
-/// The longest pause of a node that only asks because nobody else can tell it: the readers ask as well, and there are many
-/// such nodes.
-const BACK_OFF_MAXIMUM_OF_OTHERS: Duration = Duration::from_secs(2);
+/// The longest pause of a node that is not a reader and asks only because no peer has current knowledge: the readers
+/// ask as well, and there are many such nodes.
+const BACK_OFF_MAXIMUM_OF_NON_READERS: Duration = Duration::from_secs(2);
 
-/// The longest pause of a node that knows nothing yet: it refuses every request meanwhile.
+/// The longest pause of a node that has no knowledge yet, as it refuses every request until then.
 const BACK_OFF_MAXIMUM_AT_START: Duration = Duration::from_millis(120);
 
-fn back_off_maximum(role: &ReaderRole, knows_something: bool) -> Duration {
-    match (knows_something, role.is_reader()) {
+fn back_off_maximum(role: &ReaderRole, has_knowledge: bool) -> Duration {
+    match (has_knowledge, role.is_reader()) {
         (false, _) => BACK_OFF_MAXIMUM_AT_START,
         (true, true) => BACK_OFF_MAXIMUM,
-        (true, false) => BACK_OFF_MAXIMUM_OF_OTHERS,
+        (true, false) => BACK_OFF_MAXIMUM_OF_NON_READERS,
     }
 }
 
-/// The pauses between failed calls, and whether the store is regarded as lost.
+/// The state of one kind of call: the backoff after failures, and whether the store is considered lost.
 struct StoreAccess {
     call: &'static str,
     metrics: RelayMetrics,
     back_off: Duration,
     lost: bool,
-    /// Whether the store lost its history since a watch last succeeded.
+    /// Whether the store has lost its history since the last successful watch.
     lost_history: bool,
-    stands_in: bool,
+    /// Whether the node asks although it is not a reader, because its knowledge is stale.
+    asks_as_stale: bool,
 }
 
 impl StoreAccess {
     fn new(call: &'static str, metrics: RelayMetrics) -> Self {
-        StoreAccess { call, metrics, back_off: BACK_OFF_MINIMUM, lost: false, lost_history: false, stands_in: false }
+        StoreAccess {
+            call,
+            metrics,
+            back_off: BACK_OFF_MINIMUM,
+            lost: false,
+            lost_history: false,
+            asks_as_stale: false,
+        }
     }
 
-    /// Notes whether the node asks although others are to tell it, because what it knows is stale.
-    fn note_standing_in(&mut self, stands_in: bool, age: Option<Duration>) {
-        if stands_in != self.stands_in {
-            self.stands_in = stands_in;
+    /// Records whether the node asks although it is not a reader, because its knowledge is stale.
+    fn record_asking_as_stale(&mut self, asks_as_stale: bool, age: Option<Duration>) {
+        if asks_as_stale != self.asks_as_stale {
+            self.asks_as_stale = asks_as_stale;
             let age_ms = age.map(whole_millis);
-            log::info!(event = "store_asked_as_stale", call = self.call, asks = stands_in, age_ms:? = age_ms; "");
+            log::info!(event = "store_asked_as_stale", call = self.call, asks = asks_as_stale, age_ms:? = age_ms; "");
         }
     }
 
@@ -80,7 +88,7 @@
     }
 
     async fn failed(&mut self, error: &StoreError, back_off_maximum: Duration) {
-        self.metrics.record_store_call(self.call, label_of(error));
+        self.metrics.record_store_call(self.call, error_label(error));
         if !self.lost {
             self.lost = true;
             log::warn!(event = "store_lost", call = self.call, error:% = error; "");
@@ -88,9 +96,10 @@
         self.pause(back_off_maximum).await;
     }
 
-    /// Notes that the history is gone. The first time all is read anew at once; a store that has none even then is asked less often.
+    /// Records that the store has lost its history. The first time, the caller reads everything again at once; a store
+    /// that still has no history after that is asked with backoff.
     async fn history_gone(&mut self, back_off_maximum: Duration) {
-        self.metrics.record_store_call(self.call, label_of(&StoreError::HistoryGone));
+        self.metrics.record_store_call(self.call, error_label(&StoreError::HistoryGone));
         if self.lost_history {
             self.pause(back_off_maximum).await;
             return;
@@ -100,13 +109,13 @@
     }
 
     async fn pause(&mut self, back_off_maximum: Duration) {
-        // Nodes that lost the store at the same moment must not come back at the same moment.
+        // Jitter: nodes that lost the store at the same moment must not retry at the same moment.
         sleep(self.back_off.mul_f64(0.5 + fastrand::f64())).await;
         self.back_off = (2 * self.back_off).min(back_off_maximum);
     }
 }
 
-fn label_of(error: &StoreError) -> &'static str {
+fn error_label(error: &StoreError) -> &'static str {
     match error {
         StoreError::Unreachable(_) => "unreachable",
         StoreError::Refused(_) => "refused",
@@ -117,7 +126,7 @@
     }
 }
 
-/// Follows the directory for ever, while `role` has it read the store.
+/// Follows the directory whenever `role` requires reading the store; never returns.
 pub async fn follow_directory<S: ControlStore>(
     mut store: S,
     role: ReaderRole,
@@ -128,16 +137,16 @@
     let mut eras = learner.eras();
     let mut needs_listing = false;
     loop {
-        while !role.reads(learner.knowledge().directory_confirmed_at) {
-            access.note_standing_in(false, None);
+        while !role.must_read(learner.knowledge().directory_confirmed_at) {
+            access.record_asking_as_stale(false, None);
             sleep(IDLE_PAUSE).await;
         }
-        access.note_standing_in(!role.is_reader(), learner.age_of(learner.knowledge().directory_confirmed_at));
-        // What peers have told meanwhile counts: the watch goes on from there.
+        access.record_asking_as_stale(!role.is_reader(), learner.age_of(learner.knowledge().directory_confirmed_at));
+        // The position includes updates received from peers meanwhile; the watch continues from there.
         let after = learner.directory_position().filter(|_| !needs_listing);
         let now = || learner.clock().now();
         let result = match after {
-            None => list_unless_told(&mut store, &learner).await,
+            None => list_unless_received(&mut store, &learner).await,
             Some(position) => tokio::select! {
                 changes = store.watch_back_ends(position, WATCH_WAIT) => {
                     changes.map(|changes| learner.apply_changes(changes, now(), Source::Store))
@@ -149,14 +158,15 @@
             },
         };
         let succeeded = result.is_ok();
-        needs_listing = settle(result, needs_listing, &mut access, back_off_maximum(&role, after.is_some())).await;
+        needs_listing = finish_call(result, needs_listing, &mut access, back_off_maximum(&role, after.is_some())).await;
         if succeeded {
             sleep(DIRECTORY_PAUSE).await;
         }
     }
 }
 
-/// Waits until a peer, or another call, has told a newer era than that of `position`. Each is told once: it may be a mistake.
+/// Waits until a peer or another call reports an era newer than that of `position`. Each era is reported once, as the
+/// report may be wrong.
 async fn newer_era(eras: &mut watch::Receiver<StoreEra>, position: Position) {
     loop {
         // The sender lives as long as the learner.
@@ -167,26 +177,26 @@
     }
 }
 
-/// Lists the directory, unless a peer tells the whole of it meanwhile: a list may take long while many nodes start.
-async fn list_unless_told<S: ControlStore>(store: &mut S, learner: &Learner) -> Result<(), StoreError> {
-    let mut news = learner.news();
+/// Lists the directory, unless a peer sends all of it first: a listing may take long while many nodes start.
+async fn list_unless_received<S: ControlStore>(store: &mut S, learner: &Learner) -> Result<(), StoreError> {
+    let mut updates = learner.updates();
     let known_before = learner.directory_position();
-    let told = async {
+    let received = async {
         while known_before.is_some() || learner.directory_position().is_none() {
             // The sender lives as long as the learner.
-            let _ = news.changed().await;
+            let _ = updates.changed().await;
         }
     };
     tokio::select! {
         listing = store.list_back_ends() => {
-            learner.adopt_own_listing(listing?, known_before.unwrap_or_default(), learner.clock().now());
+            learner.adopt_store_listing(listing?, known_before.unwrap_or_default(), learner.clock().now());
             Ok(())
         }
-        () = told => Ok(()),
+        () = received => Ok(()),
     }
 }
 
-/// Follows the configuration for ever, while `role` has it read the store.
+/// Follows the configuration whenever `role` requires reading the store; never returns.
 pub async fn follow_configuration<S: ControlStore>(
     mut store: S,
     role: ReaderRole,
@@ -195,52 +205,53 @@
 ) {
     let mut access = StoreAccess::new("configuration", metrics);
     let mut eras = learner.eras();
-    let mut needs_reading = false;
+    let mut needs_read = false;
     loop {
-        while !role.reads(learner.configuration_confirmed_at()) {
-            access.note_standing_in(false, None);
+        while !role.must_read(learner.configuration_confirmed_at()) {
+            access.record_asking_as_stale(false, None);
             sleep(IDLE_PAUSE).await;
         }
-        access.note_standing_in(!role.is_reader(), learner.age_of(learner.configuration_confirmed_at()));
+        access.record_asking_as_stale(!role.is_reader(), learner.age_of(learner.configuration_confirmed_at()));
         let asked_at = learner.clock().now();
-        // What peers have told meanwhile counts: a node that only wants it confirmed is not sent all of it.
-        let after = learner.configuration_at().filter(|_| !needs_reading);
+        // The position includes updates received from peers meanwhile, so a node that only needs a confirmation is not
+        // sent the full configuration.
+        let after = learner.configuration_position().filter(|_| !needs_read);
         let result = match after {
             None => store.read_configuration().await,
             Some(position) => tokio::select! {
                 read = store.watch_configuration(position, WATCH_WAIT) => read,
                 () = newer_era(&mut eras, position) => {
-                    needs_reading = true;
+                    needs_read = true;
                     continue;
                 }
             },
         };
         let result = result.map(|read| {
-            // A configuration may have been on its way for long.
+            // The transfer of a configuration may have taken long, so only the time of the request is certain.
             let confirmed_at = if read.configuration.is_some() { asked_at } else { learner.clock().now() };
             if let Some(configuration) = read.configuration {
                 learner.adopt_configuration(configuration);
             }
-            learner.set_configuration_at(read.position);
+            learner.set_configuration_position(read.position);
             learner.confirm_configuration(confirmed_at);
-            learner.show_configuration(asked_at);
+            learner.mark_configuration_current(asked_at);
         });
         let maximum = back_off_maximum(&role, learner.knowledge().configuration.is_some());
-        needs_reading = settle(result, needs_reading, &mut access, maximum).await;
+        needs_read = finish_call(result, needs_read, &mut access, maximum).await;
     }
 }
 
-/// Notes how a call ended, and pauses after a failure. Returns whether all has to be read anew: when the history was lost,
-/// or when it had to be and the call failed.
-async fn settle(
+/// Records the result of a call, and pauses after a failure. Returns whether everything has to be read again: when the
+/// history was lost, or when a required read failed.
+async fn finish_call(
     result: Result<(), StoreError>,
-    read_anew: bool,
+    needed_read: bool,
     access: &mut StoreAccess,
     back_off_maximum: Duration,
 ) -> bool {
     match result {
         Ok(()) => {
-            access.succeeded(!read_anew);
+            access.succeeded(!needed_read);
             false
         }
         Err(StoreError::HistoryGone) => {
@@ -249,7 +260,7 @@
         }
         Err(error) => {
             access.failed(&error, back_off_maximum).await;
-            read_anew
+            needed_read
         }
     }
 }
--- a/crates/relay/src/control/learner.rs
+++ b/crates/relay/src/control/learner.rs
@@ -1,4 +1,4 @@
-//! Takes in what the store and the peers tell, and publishes it. Versions and positions only rise.
+//! Applies updates from the store and from peers, and publishes the result. Versions and positions only rise.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 use havengate_wire::unpack;
 use tokio::sync::watch;
 
-use super::announceable_updates::{AnnounceableUpdates, pack_step};
+use super::announceable_updates::{AnnounceableUpdates, pack_changes};
 use super::observed_eras::ObservedEras;
 use crate::knowledge::{ActiveConfiguration, AnnouncedChange, Knowledge, SharedKnowledge, SharedMoment};
 use crate::metrics::RelayMetrics;
@@ -43,30 +43,30 @@
     }
 }
 
-/// Takes knowledge in. Copies share it.
+/// Applies and publishes this node's knowledge. Clones share the state.
 #[derive(Clone)]
 pub struct Learner {
     directory: Rc<RefCell<Directory>>,
     configuration_confirmed_at: Rc<Cell<Option<Timestamp>>>,
-    /// A position of the store at which the configuration in force was the newest.
-    configuration_at: Rc<Cell<Option<Position>>>,
-    configuration_news: Rc<RefCell<AnnounceableUpdates>>,
-    /// Whether this node could not follow the steps that it was told, so that it has to be told all.
-    wants_whole: Rc<Cell<bool>>,
-    heard_eras: Rc<ObservedEras>,
-    /// The highest term under which changes of stages were announced.
+    /// A position of the store at which the active configuration was the newest.
+    configuration_position: Rc<Cell<Option<Position>>>,
+    configuration_updates: Rc<RefCell<AnnounceableUpdates>>,
+    /// Whether an incremental update could not be applied, so that the full configuration has to be requested.
+    needs_full_configuration: Rc<Cell<bool>>,
+    observed_eras: Rc<ObservedEras>,
+    /// The highest term under which stage changes were announced.
     stages_term: Rc<Cell<Term>>,
     knowledge: SharedKnowledge,
     configuration_shown: SharedMoment,
-    /// Counts what was learned, for those that wait for it. A mere confirmation is no news: readers that feed each other
-    /// would tell it for ever.
-    news: Rc<watch::Sender<u64>>,
+    /// Counts updates and wakes the tasks that wait for one. A mere confirmation does not count: readers that feed each
+    /// other would exchange it endlessly.
+    updates: Rc<watch::Sender<u64>>,
     clock: Clock,
     metrics: RelayMetrics,
 }
 
 impl Learner {
-    /// A learner that publishes to `knowledge`.
+    /// Creates a learner that publishes to `knowledge`.
     pub fn new(
         knowledge: SharedKnowledge,
         configuration_shown: SharedMoment,
@@ -76,14 +76,14 @@
         Learner {
             directory: Rc::default(),
             configuration_confirmed_at: Rc::default(),
-            configuration_at: Rc::default(),
-            configuration_news: Rc::default(),
-            wants_whole: Rc::default(),
-            heard_eras: Rc::new(ObservedEras::new()),
+            configuration_position: Rc::default(),
+            configuration_updates: Rc::default(),
+            needs_full_configuration: Rc::default(),
+            observed_eras: Rc::new(ObservedEras::new()),
             stages_term: Rc::default(),
             knowledge,
             configuration_shown,
-            news: Rc::new(watch::Sender::new(0)),
+            updates: Rc::new(watch::Sender::new(0)),
             clock,
             metrics,
         }
@@ -94,17 +94,17 @@
         self.clock
     }
 
-    /// What is known now.
+    /// The current knowledge.
     pub fn knowledge(&self) -> Arc<Knowledge> {
         self.knowledge.load_full()
     }
 
-    /// Tells of everything that is learned from now on.
-    pub fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    /// Subscribes to the count of updates.
+    pub fn updates(&self) -> watch::Receiver<u64> {
+        self.updates.subscribe()
     }
 
-    /// The position that the directory stands at; `None` until it has been read once.
+    /// The position of the directory; `None` until it has been read once.
     pub fn directory_position(&self) -> Option<Position> {
         let directory = self.directory.borrow();
         directory.is_known().then(|| directory.position())
@@ -115,19 +115,20 @@
         self.directory.borrow().changed_at()
     }
 
-    /// Notes that somebody tells this era of the store. It is a reason to ask, and nothing that is believed.
+    /// Records that the store or a peer has reported this era. It only prompts a query to the store and is not trusted
+    /// by itself.
     pub fn observe_era(&self, era: StoreEra) {
-        self.heard_eras.note(era, self.clock.now());
+        self.observed_eras.observe(era, self.clock.now());
     }
 
-    /// Since when this process has heard of `era`; `None` where that is not known.
+    /// When this process first observed `era`; `None` unless it is the newest one observed.
     pub fn era_known_since(&self, era: StoreEra) -> Option<Timestamp> {
-        self.heard_eras.known_since(era)
+        self.observed_eras.observed_since(era)
     }
 
-    /// The newest era of the store that anybody has told, now and from now on.
+    /// Subscribes to the newest era that the store or a peer has reported.
     pub fn eras(&self) -> watch::Receiver<StoreEra> {
-        self.heard_eras.subscribe()
+        self.observed_eras.subscribe()
     }
 
     /// How long ago `confirmed_at` was.
@@ -135,92 +136,95 @@
         confirmed_at.map(|confirmed_at| self.clock.now().since(confirmed_at))
     }
 
-    /// The moment of which an answer of a peer that was asked at `asked_at` says that it is so many milliseconds back. It is
-    /// never taken for younger than it is, however long the answer was on its way.
+    /// Converts an age in the answer of a peer that was asked at `asked_at` to a timestamp, which is never later than
+    /// the real one, however long the answer was in transit.
     pub fn confirmed_at(&self, answer: &PullAnswer, asked_at: Timestamp, age_millis: Option<u32>) -> Option<Timestamp> {
         let made_after = answer.made_after(asked_at).min(self.clock.now());
         age_millis.map(|millis| made_after - Duration::from_millis(u64::from(millis)))
     }
 
-    /// Asks a peer for what this node lacks of the directory; the answer may wait for news, of the configuration as well.
+    /// A pull for the directory changes that this node lacks. The peer may delay its answer by up to `wait` until it
+    /// has an update, of the configuration as well.
     pub fn pull_of_directory(&self, wait: Duration) -> Pull {
         let own = self.directory_position().unwrap_or_default();
-        // Of an era that was only heard of, all is lacking.
-        let heard_of = Position::new(self.heard_eras.newest(), Revision::default());
+        // Of an era that was only observed, this node lacks everything.
+        let observed = Position::new(self.observed_eras.newest(), Revision::default());
         Pull {
             configuration: None,
-            directory: own.max(heard_of),
+            directory: own.max(observed),
             wait_millis: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         }
     }
 
-    /// Asks a peer for what this node lacks, the configuration included.
+    /// A pull for everything that this node lacks, the configuration included.
     pub fn pull_of_configuration(&self) -> Pull {
         let own = self.knowledge.load().configuration_number();
-        let base = if self.wants_whole.get() { ConfigurationNumber::default() } else { own };
+        let base = if self.needs_full_configuration.get() { ConfigurationNumber::default() } else { own };
         Pull { configuration: Some(base), ..self.pull_of_directory(Duration::ZERO) }
     }
 
-    /// A position of the store at which the configuration in force was the newest: a watch may go on from there.
-    pub fn configuration_at(&self) -> Option<Position> {
-        self.configuration_at.get()
+    /// A position of the store at which the active configuration was the newest: a watch may continue from there.
+    pub fn configuration_position(&self) -> Option<Position> {
+        self.configuration_position.get()
     }
 
-    /// Notes that the store had no newer configuration than the one in force at this position.
-    pub fn note_configuration_at(&self, position: Position) {
-        self.configuration_at.set(self.configuration_at.get().max(Some(position)));
+    /// Records that the active configuration was the newest at this position of the store. The recorded position only
+    /// rises.
+    pub fn advance_configuration_position(&self, position: Position) {
+        self.configuration_position.set(self.configuration_position.get().max(Some(position)));
     }
 
-    /// Notes the same of a position that the store has just told, also one before that of its former life.
-    pub fn set_configuration_at(&self, position: Position) {
+    /// Records the same for a position just read from the store, which may be before the one recorded in a previous
+    /// era.
+    pub fn set_configuration_position(&self, position: Position) {
         self.observe_era(position.era);
-        self.configuration_at.set(Some(position));
+        self.configuration_position.set(Some(position));
     }
 
-    /// When the store, or by way of a peer, last confirmed the configuration.
+    /// When the store last confirmed the configuration, directly or through a peer.
     pub fn configuration_confirmed_at(&self) -> Option<Timestamp> {
         self.configuration_confirmed_at.get()
     }
 
-    /// Adopts a configuration that the store has told, if it is newer than the one in force.
+    /// Adopts a configuration read from the store, if it is newer than the active one.
     pub fn adopt_configuration(&self, configuration: TrafficConfiguration) {
         let knowledge = self.knowledge.load_full();
         let base = knowledge.configuration.as_ref();
         if base.is_some_and(|base| configuration.version <= base.configuration.version) {
             return;
         }
-        let news = base.and_then(|base| pack_step(&base.configuration, &configuration));
-        self.put_in_force(configuration, news, Source::Store);
+        let update = base.and_then(|base| pack_changes(&base.configuration, &configuration));
+        self.activate(configuration, update, Source::Store);
     }
 
-    /// Adopts what a peer has told, if it is newer than the configuration in force.
-    fn adopt_news(&self, packed: PackedUpdate) {
+    /// Applies a peer's update, if it is newer than the active configuration.
+    fn adopt_update(&self, packed: PackedUpdate) {
         let knowledge = self.knowledge.load_full();
         let base = knowledge.configuration.as_ref().map(|active| &active.configuration);
         if base.is_some_and(|base| packed.version <= base.version) {
             return;
         }
         let unpacked = unpack::<ConfigurationUpdate>(&packed.bytes).map_err(|error| error.to_string());
-        let is_whole = matches!(unpacked, Ok(ConfigurationUpdate::Full(_)));
-        match unpacked.and_then(|news| news.apply(base).map_err(|error| error.to_string())) {
+        let is_full = matches!(unpacked, Ok(ConfigurationUpdate::Full(_)));
+        match unpacked.and_then(|update| update.apply(base).map_err(|error| error.to_string())) {
             Ok(configuration) => {
                 let bytes = packed.bytes.len();
-                log::debug!(event = "configuration_told", version = packed.version.0, bytes, whole = is_whole; "");
-                self.put_in_force(configuration, (!is_whole).then_some(packed), Source::Peer);
+                log::debug!(event = "configuration_told", version = packed.version.0, bytes, whole = is_full; "");
+                self.activate(configuration, (!is_full).then_some(packed), Source::Peer);
             }
             Err(error) => {
                 let base = knowledge.configuration_number().0;
                 log::warn!(event = "configuration_news_unusable", version = packed.version.0, base, error; "");
-                self.wants_whole.set(true);
+                self.needs_full_configuration.set(true);
             }
         }
     }
 
-    /// Puts a configuration in force that `news`, where there is any, leads to from the one before.
-    fn put_in_force(&self, configuration: TrafficConfiguration, news: Option<PackedUpdate>, source: Source) {
+    /// Activates a configuration; `update` leads to it from the previous one, if there is such an update.
+    fn activate(&self, configuration: TrafficConfiguration, update: Option<PackedUpdate>, source: Source) {
         let knowledge = self.knowledge.load_full();
-        self.configuration_news.borrow_mut().stepped(knowledge.configuration_number(), news);
-        self.wants_whole.set(false);
+        self.configuration_updates.borrow_mut().record_activation(knowledge.configuration_number(), update);
+        self.needs_full_configuration.set(false);
         log::info!(
             event = "configuration_adopted",
             version = configuration.version.0,
@@ -232,33 +236,33 @@
         );
         let active = Arc::new(ActiveConfiguration::new(configuration));
         for tenant in active.keys.iter().flat_map(KeyTable::clashing) {
-            log::warn!(event = "key_of_two_tenants", tenant:% = tenant, consequence = "it is the other one's"; "");
+            log::warn!(event = "key_of_two_tenants", tenant:% = tenant, consequence = "the other tenant owns it"; "");
         }
         self.publish(Knowledge { configuration: Some(active), ..(*knowledge).clone() });
-        self.tell_news();
+        self.notify_update();
     }
 
-    /// Notes that no configuration newer than the one in force was there at `confirmed_at`.
+    /// Records that the active configuration was the newest at `confirmed_at`.
     pub fn confirm_configuration(&self, confirmed_at: Timestamp) {
         if self.configuration_confirmed_at.get().is_none_or(|before| before < confirmed_at) {
             self.configuration_confirmed_at.set(Some(confirmed_at));
         }
     }
 
-    /// Notes that no configuration newer than the one in force was there at a moment that is no earlier than `shown_at`.
-    pub fn show_configuration(&self, shown_at: Timestamp) {
+    /// Records that the active configuration was the newest at some moment at or after `current_at`.
+    pub fn mark_configuration_current(&self, current_at: Timestamp) {
         if self.knowledge.load().configuration.is_some() {
-            self.configuration_shown.advance(shown_at);
+            self.configuration_shown.advance(current_at);
         }
     }
 
-    /// Takes in a listing that the store gave when it was asked later than this node stood at `asked_from`. The store's answers are
-    /// never behind what it has told before: one that is comes from an older copy.
-    pub fn adopt_own_listing(&self, listing: DirectoryListing, asked_from: Position, confirmed_at: Timestamp) {
+    /// Adopts a listing from the store that was requested when the directory was at `asked_from`. The store's answers
+    /// are never behind its previous ones unless it was restored from an older snapshot.
+    pub fn adopt_store_listing(&self, listing: DirectoryListing, asked_from: Position, confirmed_at: Timestamp) {
         let own = self.directory.borrow().position();
         if listing.position < asked_from && asked_from == own {
             log::warn!(event = "store_behind", position:% = listing.position, own:% = own; "");
-            self.take_listing(listing, confirmed_at, Source::Store, |directory, listing, now| {
+            self.replace_directory(listing, confirmed_at, Source::Store, |directory, listing, now| {
                 directory.adopt_older(listing, now);
                 true
             });
@@ -267,54 +271,64 @@
         }
     }
 
-    /// Replaces the directory by a listing that is not older, and was right at `confirmed_at`.
+    /// Replaces the directory by a listing that is not older and was current at `confirmed_at`.
     pub fn adopt_listing(&self, listing: DirectoryListing, confirmed_at: Timestamp, source: Source) {
-        self.take_listing(listing, confirmed_at, source, Directory::adopt);
+        self.replace_directory(listing, confirmed_at, source, Directory::adopt);
     }
 
-    fn take_listing(
+    fn replace_directory(
         &self,
         listing: DirectoryListing,
         confirmed_at: Timestamp,
         source: Source,
-        take: impl FnOnce(&mut Directory, DirectoryListing, Timestamp) -> bool,
+        replace: impl FnOnce(&mut Directory, DirectoryListing, Timestamp) -> bool,
     ) {
-        let (position, back_ends, spoiled) = (listing.position, listing.back_ends.len(), listing.spoiled.len());
+        let (position, back_ends, malformed) = (listing.position, listing.back_ends.len(), listing.spoiled.len());
         let own = self.directory.borrow().position();
         let is_behind = self.directory.borrow().is_behind(position);
         self.observe_era(position.era);
-        self.note_new_lives(position, &listing.back_ends);
-        if !take(&mut self.directory.borrow_mut(), listing, self.clock.now()) {
-            self.note_old_news(position, own, source);
+        self.report_restarts(position, &listing.back_ends);
+        if !replace(&mut self.directory.borrow_mut(), listing, self.clock.now()) {
+            self.report_outdated_update(position, own, source);
             return;
         }
-        log::info!(event = "directory_adopted", position:%, back_ends, spoiled, source = source.code(); "");
+        log::info!(event = "directory_adopted", position:%, back_ends, spoiled = malformed, source = source.code(); "");
         if is_behind {
-            self.note_back(position, own, source);
+            self.report_restore(position, own, source);
         }
-        self.metrics.record_spoiled_entries(spoiled);
+        self.metrics.record_spoiled_entries(malformed);
         self.publish_directory(confirmed_at, true);
     }
 
-    /// Tells that the directory is one of another era from now on, and what is kept of the former one.
-    fn note_back(&self, position: Position, own: Position, source: Source) {
+    /// Logs and counts the change to a directory of another era, with the number of entries retained from the previous
+    /// one.
+    fn report_restore(&self, position: Position, own: Position, source: Source) {
         let directory = self.directory.borrow();
         let now = self.clock.now();
         let count = |holds: &dyn Fn(&DirectoryEntry) -> bool| directory.entries().filter(|entry| holds(entry)).count();
-        let held = count(&|entry| !entry.listed);
-        let doubted = count(&|entry| entry.doubted_until.is_some_and(|until| now < until));
-        let leaving = count(&|entry| entry.listed && entry.left_before_copy);
-        log::warn!(event = "store_went_back", position:%, own:%, held, doubted, leaving, source = source.code(); "");
+        let retained = count(&|entry| !entry.listed);
+        let quarantined = count(&|entry| entry.doubted_until.is_some_and(|until| now < until));
+        let draining = count(&|entry| entry.listed && entry.left_before_copy);
+        log::warn!(
+            event = "store_went_back",
+            position:%,
+            own:%,
+            held = retained,
+            doubted = quarantined,
+            leaving = draining,
+            source = source.code();
+            ""
+        );
         self.metrics.record_store_back();
     }
 
-    /// Tells of news that were not taken, since they lead to a directory that is older than this node's.
-    fn note_old_news(&self, position: Position, own: Position, source: Source) {
+    /// Logs and counts an update that was rejected because it leads to a directory older than this node's.
+    fn report_outdated_update(&self, position: Position, own: Position, source: Source) {
         log::info!(event = "directory_news_old", position:%, own:%, source = source.code(); "");
         self.metrics.record_old_news(source.code());
     }
 
-    /// Applies changes that lead to a directory which was right at `confirmed_at`.
+    /// Applies changes that lead to a directory that was current at `confirmed_at`.
     pub fn apply_changes(&self, changes: DirectoryChanges, confirmed_at: Timestamp, source: Source) {
         let (position, count) = (changes.position, changes.changes.len());
         let own = self.directory.borrow().position();
@@ -322,23 +336,24 @@
             DirectoryChange::Put(back_end) => Some(back_end),
             DirectoryChange::Gone(_) | DirectoryChange::Spoiled(_) => None,
         });
-        self.note_new_lives(position, put);
-        let is_spoiled = |change: &&DirectoryChange| matches!(change, DirectoryChange::Spoiled(_));
-        let spoiled = changes.changes.iter().filter(is_spoiled).count();
+        self.report_restarts(position, put);
+        let is_malformed = |change: &&DirectoryChange| matches!(change, DirectoryChange::Spoiled(_));
+        let malformed = changes.changes.iter().filter(is_malformed).count();
         if !self.directory.borrow_mut().apply(changes, self.clock.now()) {
-            self.note_old_news(position, own, source);
+            self.report_outdated_update(position, own, source);
             return;
         }
-        self.metrics.record_spoiled_entries(spoiled);
+        self.metrics.record_spoiled_entries(malformed);
         if count > 0 {
             log::debug!(event = "directory_changed", position:%, changes = count, source = source.code(); "");
         }
         self.publish_directory(confirmed_at, count > 0);
     }
 
-    /// Tells of back ends that have started again under their name, in news that lead to `position`. The last news of each decide:
-    /// lives that were over before they were heard of, or that are told again, are none.
-    fn note_new_lives<'b>(&self, position: Position, back_ends: impl IntoIterator<Item = &'b BackEnd>) {
+    /// Logs and counts back ends that have restarted under their name, in an update that leads to `position`. Only the
+    /// last entry of each back end counts: incarnations that had ended before they were observed, or that are repeated,
+    /// do not.
+    fn report_restarts<'b>(&self, position: Position, back_ends: impl IntoIterator<Item = &'b BackEnd>) {
         let directory = self.directory.borrow();
         if position < directory.position() {
             return;
@@ -346,66 +361,67 @@
         let last: BTreeMap<&BackEndName, &BackEndId> =
             back_ends.into_iter().map(|back_end| (back_end.id.name(), &back_end.id)).collect();
         for id in last.into_values() {
-            let Some(former) = directory.former_life(id) else {
+            let Some(previous) = directory.former_life(id) else {
                 continue;
             };
             self.metrics.record_new_life();
             let millis = |id: &BackEndId| id.started().map(|started| started.0);
-            let (started, before) = (millis(id), millis(former));
+            let (started, before) = (millis(id), millis(previous));
             log::info!(event = "back_end_started_again", back_end:% = id, started:?, before:?; "");
         }
     }
 
-    /// Notes the position that a peer tells of its directory.
-    pub fn note_peer(&self, peer: Address, directory: Position) {
-        self.heard_eras.note_peer(peer, directory, self.clock.now());
+    /// Records the position of a peer's directory.
+    pub fn record_peer_position(&self, peer: Address, directory: Position) {
+        self.observed_eras.record_peer(peer, directory, self.clock.now());
     }
 
-    /// A pull as `peer` understands it: one that tells no era is told none.
+    /// Adapts a pull to `peer`: a peer that sends positions without an era is sent none.
     pub fn pull_for(&self, peer: Address, pull: Pull) -> Pull {
-        if !self.heard_eras.is_eraless(peer) {
+        if !self.observed_eras.lacks_era(peer) {
             return pull;
         }
         Pull { directory: self.directory_position().unwrap_or_default().without_era(), ..pull }
     }
 
-    /// What `peer` has answered, placed in the era that this node knows; without what can't be placed.
+    /// Assigns this node's era to the positions in an answer of `peer` that come without one, and drops what can't be
+    /// assigned.
     ///
-    /// As long as the store did not go back, all that is told without an era is of the only one that there was.
-    pub fn placed(&self, peer: Address, answer: PullAnswer) -> PullAnswer {
+    /// As long as the store was never restored, every position without an era belongs to the only era that there was.
+    pub fn with_own_era(&self, peer: Address, answer: PullAnswer) -> PullAnswer {
         let era = self.directory.borrow().position().era;
-        if !era.is_told() || !self.heard_eras.is_eraless(peer) {
+        if !era.is_told() || !self.observed_eras.lacks_era(peer) {
             return answer;
         }
-        let is_placeable = !self.directory.borrow().went_back();
+        let has_single_era = !self.directory.borrow().went_back();
         PullAnswer {
-            newest_at: answer.newest_at.filter(|_| is_placeable).map(|at| Position::new(era, at.revision)),
-            directory: answer.directory.filter(|_| is_placeable).map(|news| news.of_era(era)),
+            newest_at: answer.newest_at.filter(|_| has_single_era).map(|at| Position::new(era, at.revision)),
+            directory: answer.directory.filter(|_| has_single_era).map(|update| update.of_era(era)),
             ..answer
         }
     }
 
-    /// Takes in what a peer told that was asked at `asked_at`.
-    pub fn learn(&self, answer: PullAnswer, asked_at: Timestamp) {
+    /// Applies the answer of a peer that was asked at `asked_at`.
+    pub fn apply_answer(&self, answer: PullAnswer, asked_at: Timestamp) {
         let confirmed = |age_millis| self.confirmed_at(&answer, asked_at, age_millis);
         let ages = answer.ages;
         let (configuration, directory) = (confirmed(ages.configuration_millis), confirmed(ages.directory_millis));
-        let shown = ages.configuration_shown_millis;
-        for news in answer.configuration {
-            self.adopt_news(news);
+        let current_age_millis = ages.configuration_shown_millis;
+        for update in answer.configuration {
+            self.adopt_update(update);
         }
         let own = self.knowledge.load().configuration_number();
         if own >= answer.newest {
-            // Whatever the peer has that is newer, this node has too.
+            // The peer has no configuration that this node lacks, so its confirmation holds for this node.
             if let Some(confirmed_at) = configuration {
                 self.confirm_configuration(confirmed_at);
             }
-            if let Some(millis) = shown {
-                self.show_configuration(asked_at - Duration::from_millis(u64::from(millis)));
+            if let Some(millis) = current_age_millis {
+                self.mark_configuration_current(asked_at - Duration::from_millis(u64::from(millis)));
             }
         }
         if let Some(position) = answer.newest_at.filter(|_| own == answer.newest) {
-            self.note_configuration_at(position);
+            self.advance_configuration_position(position);
         }
         let Some(confirmed_at) = directory else {
             return;
@@ -417,7 +433,8 @@
         }
     }
 
-    /// Sets the number of nodes, where those that were heard of lately take notices, and whether this one reads the store.
+    /// Sets the number of nodes, the notice addresses of the peers heard from recently, and whether this node reads the
+    /// store.
     pub fn set_peers(&self, nodes: u32, peers: Vec<Address>, is_reader: bool) {
         let knowledge = self.knowledge.load_full();
         if knowledge.nodes == nodes && *knowledge.peers == peers && knowledge.is_reader == is_reader {
@@ -427,7 +444,8 @@
         self.publish(Knowledge { nodes, peers: Arc::new(peers), is_reader, ..(*knowledge).clone() });
     }
 
-    /// Takes in which engines are about to change their stage, unless a holder with a higher term has told since.
+    /// Applies a holder's announcement of engines that are about to change their stage, unless a holder with a higher
+    /// term has announced changes since. Returns whether it was applied.
     pub fn apply_announced_changes(&self, engines: Vec<(BackEndId, EngineStage)>, term: Term) -> bool {
         if term < self.stages_term.get() {
             return false;
@@ -445,15 +463,17 @@
         true
     }
 
-    /// The way from `base` to the configuration in force: the steps where they are kept, else all of it.
-    fn news_since(&self, base: ConfigurationNumber) -> Vec<PackedUpdate> {
+    /// The updates from `base` to the active configuration: the incremental ones if they are retained, otherwise the
+    /// full configuration.
+    fn updates_since(&self, base: ConfigurationNumber) -> Vec<PackedUpdate> {
         let knowledge = self.knowledge.load();
-        let told =
-            |active: &Arc<ActiveConfiguration>| self.configuration_news.borrow_mut().since(base, &active.configuration);
-        knowledge.configuration.as_ref().map(told).unwrap_or_default()
+        let updates = |active: &Arc<ActiveConfiguration>| {
+            self.configuration_updates.borrow_mut().since(base, &active.configuration)
+        };
+        knowledge.configuration.as_ref().map(updates).unwrap_or_default()
     }
 
-    /// What a peer that has `pull` lacks, when it has waited for news for `waited`.
+    /// The answer to a peer's `pull`, which has waited for an update for `waited`.
     pub fn answer(&self, pull: Pull, waited: Duration) -> PullAnswer {
         let now = self.clock.now();
         let age = |confirmed_at: Option<Timestamp>| {
@@ -462,8 +482,8 @@
         let knowledge = self.knowledge.load();
         PullAnswer {
             newest: knowledge.configuration_number(),
-            newest_at: self.configuration_at_for(pull.directory.era),
-            configuration: pull.configuration.map(|base| self.news_since(base)).unwrap_or_default(),
+            newest_at: self.configuration_position_for(pull.directory.era),
+            configuration: pull.configuration.map(|base| self.updates_since(base)).unwrap_or_default(),
             directory: self.directory.borrow().news_since(pull.directory),
             ages: KnowledgeAges {
                 configuration_millis: age(self.configuration_confirmed_at.get()),
@@ -474,9 +494,10 @@
         }
     }
 
-    /// A position at which the configuration in force was the newest, as a peer understands it that tells `era`.
-    fn configuration_at_for(&self, era: StoreEra) -> Option<Position> {
-        let own = self.configuration_at.get()?;
+    /// A position at which the active configuration was the newest, in the form for a peer whose positions are in
+    /// `era`.
+    fn configuration_position_for(&self, era: StoreEra) -> Option<Position> {
+        let own = self.configuration_position.get()?;
         if era.is_told() || !own.era.is_told() {
             return Some(own);
         }
@@ -491,12 +512,12 @@
         knowledge.directory_confirmed_at = knowledge.directory_confirmed_at.max(Some(confirmed_at));
         self.publish(knowledge);
         if changed {
-            self.tell_news();
+            self.notify_update();
         }
     }
 
-    fn tell_news(&self) {
-        self.news.send_modify(|count| *count += 1);
+    fn notify_update(&self) {
+        self.updates.send_modify(|count| *count += 1);
     }
 
     fn publish(&self, knowledge: Knowledge) {
--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: it follows the store and the peers, and publishes what it knows.
+//! The control thread: follows the store and the peers, and publishes their state to the traffic thread.
 
 mod announceable_updates;
 mod block_keeper;
@@ -19,4 +19,6 @@
 pub use learner::{Learner, Source};
 pub use peers::PeerExchange;
 pub use thread::{ControlHandle, ControlSettings, Platform, SharedWithTraffic, spawn};
-pub use transfer::{IDLE_TIME_LIMIT, MESSAGE_TIME_LIMIT, Patience, PeersError, Progress, read_message, write_message};
+pub use transfer::{
+    IDLE_TIME_LIMIT, MESSAGE_TIME_LIMIT, PeersError, Progress, TransferTimeouts, read_message, write_message,
+};
--- a/crates/relay/src/control/observed_eras.rs
+++ b/crates/relay/src/control/observed_eras.rs
@@ -1,4 +1,4 @@
-//! Which eras of the store this node has heard of, and which peers know of none.
+//! The eras of the store that this node has observed, and the peers that send positions without an era.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -8,64 +8,64 @@
 use havengate_core::world::Address;
 use tokio::sync::watch;
 
-/// Peers without an era that are remembered.
-const ERALESS_PEERS_MAXIMUM: usize = 2_000;
+/// The most peers without an era that are remembered.
+const PEERS_WITHOUT_ERA_MAXIMUM: usize = 2_000;
 
-/// What was heard of eras, by whomever: a reason to ask, and nothing that is believed.
+/// The eras observed from any source. They only prompt a query to the store and are not trusted by themselves.
 pub struct ObservedEras {
     newest: watch::Sender<StoreEra>,
-    /// Since when this process has heard of the newest one.
-    since: Cell<Timestamp>,
-    /// Peers that tell their positions without an era: those of a build before eras, or that know none.
-    eraless: RefCell<BTreeSet<Address>>,
+    /// When this process first observed the newest era.
+    newest_since: Cell<Timestamp>,
+    /// Peers that send positions without an era: their build predates eras, or they know none.
+    peers_without_era: RefCell<BTreeSet<Address>>,
 }
 
 impl ObservedEras {
-    /// Nothing was heard yet.
+    /// Creates the state in which no era has been observed.
     pub fn new() -> Self {
         ObservedEras {
             newest: watch::Sender::new(StoreEra::default()),
-            since: Cell::new(Timestamp::ZERO),
-            eraless: RefCell::default(),
+            newest_since: Cell::new(Timestamp::ZERO),
+            peers_without_era: RefCell::default(),
         }
     }
 
-    /// Notes that somebody tells this era.
-    pub fn note(&self, era: StoreEra, now: Timestamp) {
+    /// Records an era reported by the store or by a peer.
+    pub fn observe(&self, era: StoreEra, now: Timestamp) {
         if era > self.newest() {
-            self.since.set(now);
+            self.newest_since.set(now);
             self.newest.send_replace(era);
         }
     }
 
-    /// The newest era.
+    /// The newest era observed.
     pub fn newest(&self) -> StoreEra {
         *self.newest.borrow()
     }
 
-    /// The newest era, now and from now on.
+    /// Subscribes to the newest era observed.
     pub fn subscribe(&self) -> watch::Receiver<StoreEra> {
         self.newest.subscribe()
     }
 
-    /// Since when this process has heard of `era`; `None` where that is not known.
-    pub fn known_since(&self, era: StoreEra) -> Option<Timestamp> {
-        (self.newest() == era).then(|| self.since.get())
+    /// When this process first observed `era`; `None` unless it is the newest one.
+    pub fn observed_since(&self, era: StoreEra) -> Option<Timestamp> {
+        (self.newest() == era).then(|| self.newest_since.get())
     }
 
-    /// Notes the position that a peer tells of its directory.
-    pub fn note_peer(&self, peer: Address, directory: Position, now: Timestamp) {
-        self.note(directory.era, now);
-        let mut eraless = self.eraless.borrow_mut();
+    /// Records the position of a peer's directory.
+    pub fn record_peer(&self, peer: Address, directory: Position, now: Timestamp) {
+        self.observe(directory.era, now);
+        let mut peers_without_era = self.peers_without_era.borrow_mut();
         if directory.era.is_told() {
-            eraless.remove(&peer);
-        } else if directory != Position::default() && eraless.len() < ERALESS_PEERS_MAXIMUM {
-            eraless.insert(peer);
+            peers_without_era.remove(&peer);
+        } else if directory != Position::default() && peers_without_era.len() < PEERS_WITHOUT_ERA_MAXIMUM {
+            peers_without_era.insert(peer);
         }
     }
 
-    /// Whether a peer tells no eras.
-    pub fn is_eraless(&self, peer: Address) -> bool {
-        self.eraless.borrow().contains(&peer)
+    /// Whether a peer sends positions without an era.
+    pub fn lacks_era(&self, peer: Address) -> bool {
+        self.peers_without_era.borrow().contains(&peer)
     }
 }
--- a/crates/relay/src/control/peers.rs
+++ b/crates/relay/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! The exchange with other nodes: digests by datagram, pulls by connection.
+//! The exchange with other nodes: digests over datagrams, pulls over connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -19,28 +19,30 @@
 use super::fetcher::ConfigurationFetcher;
 use super::learner::Learner;
 use super::reader_role::ReaderRole;
-use super::transfer::{Patience, PeersError, ask, connect, read_message, write_message};
+use super::transfer::{PeersError, TransferTimeouts, ask, connect, read_message, write_message};
 use crate::callers::listen;
 use crate::datagrams::Datagrams;
 use crate::metrics::{NodeMessageKind, RelayMetrics};
 
-/// How often a digest is sent. News reaches all of ten nodes in two or three rounds.
+/// How often a digest is sent. An update reaches all of ten nodes in two or three rounds.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A directory that the store has confirmed within this time needs no peer.
+/// A directory that the store has confirmed within this time is not pulled from a peer.
 const DIRECTORY_FRESH: Duration = Duration::from_millis(500);
 
-/// How long a peer may take to be reached and to begin its answer to a pull, and to begin to take an answer.
+/// The time limit for connecting to a peer, for the first byte of its answer to a pull, and for the first byte that it
+/// accepts of an answer.
 const PULL_TIME_LIMIT: Duration = Duration::from_millis(600);
 
-/// Peers that are answered at the same time, most of them fed for long; more are closed. A reader feeds some 27 nodes at
-/// the size that is designed for, all of them when it is the only one left that others know.
-const PEERS_ANSWERED_MAXIMUM: usize = 400;
+/// The most connections whose pulls are answered at the same time; further ones are closed. Most of them are long-lived
+/// feeds. A reader feeds some 27 nodes at the size of the design, and all nodes if it is the only reader left that they
+/// know.
+const ANSWERED_CONNECTIONS_MAXIMUM: usize = 400;
 
-/// A fed peer that asks nothing for this time is gone. It asks again as soon as it is answered.
-const ASK_PATIENCE: Duration = Duration::from_secs(4);
+/// A fed peer that sends no pull for this time is gone, as a live one sends the next pull as soon as it is answered.
+const PULL_IDLE_LIMIT: Duration = Duration::from_secs(4);
 
-/// The exchange with other nodes. Copies share it.
+/// The exchange with other nodes. Clones share the state.
 #[derive(Clone)]
 pub struct PeerExchange {
     own: PeerAddresses,
@@ -48,18 +50,18 @@
     role: ReaderRole,
     learner: Learner,
     fetcher: ConfigurationFetcher,
-    /// Whether a pull of the directory is under way.
-    is_pulling: Rc<Cell<bool>>,
+    /// Whether a pull of the directory is in progress.
+    pull_in_progress: Rc<Cell<bool>>,
     datagrams: Datagrams,
     demand: Rc<RefCell<DemandTable>>,
     usage: Rc<RefCell<UsageTable>>,
-    /// Candidates that asked for all counts since this was last looked at.
+    /// Candidates that have asked for all counts since the last `take_usage_wanted`.
     usage_wanted: Rc<RefCell<BTreeSet<Address>>>,
     metrics: RelayMetrics,
 }
 
 impl PeerExchange {
-    /// Takes part in the exchange as `own`.
+    /// Binds the sockets of the exchange at the addresses `own`.
     ///
     /// # Errors
     /// When the address can't be bound.
@@ -77,14 +79,14 @@
         let demand = Rc::new(RefCell::new(demand));
         let (usage, usage_wanted) = (Rc::default(), Rc::default());
         let fetcher = ConfigurationFetcher::new(learner.clone());
-        let is_pulling = Rc::default();
+        let pull_in_progress = Rc::default();
         let exchange = PeerExchange {
             own,
             table,
             role,
             learner,
             fetcher,
-            is_pulling,
+            pull_in_progress,
             datagrams,
             demand,
             usage,
@@ -94,8 +96,8 @@
         Ok((exchange, listener))
     }
 
-    /// Sends digests for ever, to `seeds` as well, and pulls what peers have newer.
-    pub async fn spread(self, mut seeds: watch::Receiver<Vec<Address>>) {
+    /// Sends digests periodically, to `seeds` as well, and pulls from peers that have newer knowledge; never returns.
+    pub async fn exchange_digests(self, mut seeds: watch::Receiver<Vec<Address>>) {
         let mut ticks = interval(DIGEST_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -113,22 +115,22 @@
         }
     }
 
-    /// What fetches a newer configuration from other nodes.
+    /// The fetcher of newer configurations from other nodes.
     pub fn fetcher(&self) -> ConfigurationFetcher {
         self.fetcher.clone()
     }
 
-    /// The other nodes that were heard of lately.
+    /// The other nodes that were heard from recently.
     pub fn recent(&self, now: Timestamp) -> Vec<Address> {
         self.table.borrow().recent(now)
     }
 
-    /// What all nodes ask of engines, as their reports show it.
+    /// The demand of all nodes, from their reports.
     pub fn demand(&self) -> Rc<RefCell<DemandTable>> {
         Rc::clone(&self.demand)
     }
 
-    /// What all nodes have counted of usage, as they tell it.
+    /// The usage counted by all nodes, from their announcements.
     pub fn usage(&self) -> Rc<RefCell<UsageTable>> {
         Rc::clone(&self.usage)
     }
@@ -138,7 +140,7 @@
         self.usage_wanted.take()
     }
 
-    /// Sends `message` to each of `receivers`. One that can't be sent is like one that is lost.
+    /// Sends `message` to each of `receivers`. A datagram that can't be sent is treated like a lost one.
     pub async fn send_to(&self, message: &PeerMessage, receivers: &[Address]) {
         let kind = match message {
             PeerMessage::Digest(_) => NodeMessageKind::Digest,
@@ -149,15 +151,15 @@
         self.datagrams.send(message, kind, receivers).await;
     }
 
-    fn take_in(&self, message: PeerMessage) {
+    fn handle(&self, message: PeerMessage) {
         let now = self.learner.clock().now();
         match message {
             PeerMessage::Digest(digest) => {
-                self.fetcher.note_configuration_of(digest.sender.control, digest.configuration);
-                self.learner.note_peer(digest.sender.control, digest.directory);
+                self.fetcher.record_configuration_of(digest.sender.control, digest.configuration);
+                self.learner.record_peer_position(digest.sender.control, digest.directory);
                 self.table.borrow_mut().receive(&digest, now);
             }
-            PeerMessage::Demand(report) if !self.knows(report.sender, now) => {
+            PeerMessage::Demand(report) if !self.is_recent(report.sender, now) => {
                 self.metrics.record_dropped_message("unknown_sender");
             }
             PeerMessage::Demand(report) => {
@@ -165,19 +167,19 @@
                     self.metrics.record_dropped_message("overtaken");
                 }
             }
-            PeerMessage::Usage(counts) if !self.knows(counts.sender, now) => {
+            PeerMessage::Usage(counts) if !self.is_recent(counts.sender, now) => {
                 self.metrics.record_dropped_message("unknown_sender");
             }
             PeerMessage::Usage(counts) => {
                 self.usage.borrow_mut().receive(&counts);
             }
-            PeerMessage::UsageWanted(sender) if !self.knows(sender, now) => {
+            PeerMessage::UsageWanted(sender) if !self.is_recent(sender, now) => {
                 self.metrics.record_dropped_message("unknown_sender");
             }
             PeerMessage::UsageWanted(sender) => {
                 self.usage_wanted.borrow_mut().insert(sender);
             }
-            PeerMessage::Stages(notice) if !self.knows(notice.sender, now) => {
+            PeerMessage::Stages(notice) if !self.is_recent(notice.sender, now) => {
                 self.metrics.record_dropped_message("unknown_sender");
             }
             PeerMessage::Stages(notice) => {
@@ -188,32 +190,32 @@
         }
     }
 
-    fn knows(&self, sender: Address, now: Timestamp) -> bool {
+    fn is_recent(&self, sender: Address, now: Timestamp) -> bool {
         self.table.borrow().recent(now).contains(&sender)
     }
 
-    /// Takes datagrams of peers in for ever.
+    /// Handles datagrams from peers; never returns.
     pub async fn receive(self) {
         loop {
-            self.take_in(self.datagrams.receive().await);
+            self.handle(self.datagrams.receive().await);
         }
     }
 
-    /// Answers pulls for ever.
+    /// Accepts connections and answers pulls on them; never returns.
     pub async fn answer_pulls(self, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(PEERS_ANSWERED_MAXIMUM));
+        let permits = Arc::new(Semaphore::new(ANSWERED_CONNECTIONS_MAXIMUM));
         loop {
             let Ok((mut stream, _)) = listener.accept().await else {
                 tokio::time::sleep(DIGEST_INTERVAL).await;
                 continue;
             };
-            let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 continue;
             };
             let (learner, metrics) = (self.learner.clone(), self.metrics.clone());
             tokio::task::spawn_local(async move {
-                let _place = place;
-                // The peer that asks notices a failure and asks another one.
+                let _permit = permit;
+                // The asking peer detects a failure by itself and asks another peer.
                 let _ = answer_pulls_on(&mut stream, &learner, &metrics).await;
             });
         }
@@ -232,12 +234,13 @@
         self.send_to(&PeerMessage::Digest(digest), &receivers).await;
     }
 
-    /// Pulls a newer directory from a peer when the store has not confirmed this node's for some time. Digests go out meanwhile.
+    /// Starts a pull of a newer directory from a peer when this node's has not been confirmed for some time. It runs in
+    /// a task of its own, so that digests go on meanwhile.
     fn pull_if_behind(&self) {
         let now = self.learner.clock().now();
         let confirmed = self.learner.knowledge().directory_confirmed_at;
         let is_fresh = confirmed.is_some_and(|confirmed_at| now.since(confirmed_at) <= DIRECTORY_FRESH);
-        if is_fresh || self.is_pulling.get() {
+        if is_fresh || self.pull_in_progress.get() {
             return;
         }
         let own = self.learner.directory_position().unwrap_or_default();
@@ -245,39 +248,39 @@
         let Some(peer) = ahead else {
             return;
         };
-        self.is_pulling.set(true);
+        self.pull_in_progress.set(true);
         let exchange = self.clone();
         tokio::task::spawn_local(async move {
             match exchange.pull(peer).await {
-                Ok(answer) => exchange.learner.learn(exchange.learner.placed(peer, answer), now),
+                Ok(answer) => exchange.learner.apply_answer(exchange.learner.with_own_era(peer, answer), now),
                 Err(error) => log::warn!(event = "pull_failed", peer:% = peer, error:% = error; ""),
             }
-            exchange.is_pulling.set(false);
+            exchange.pull_in_progress.set(false);
         });
     }
 
     async fn pull(&self, peer: Address) -> Result<PullAnswer, PeersError> {
         let mut stream = connect(peer, PULL_TIME_LIMIT).await?;
         let pull = self.learner.pull_for(peer, self.learner.pull_of_directory(Duration::ZERO));
-        ask(&mut stream, &pull, Patience::with(PULL_TIME_LIMIT)).await
+        ask(&mut stream, &pull, TransferTimeouts::with_first_byte(PULL_TIME_LIMIT)).await
     }
 }
 
-/// Answers one pull after the other, each when there is something new or its wait is over.
+/// Answers one pull after the other, each when there is an update or its wait is over.
 async fn answer_pulls_on(stream: &mut TcpStream, learner: &Learner, metrics: &RelayMetrics) -> Result<(), PeersError> {
     stream.set_nodelay(true)?;
-    let mut news = learner.news();
+    let mut updates = learner.updates();
     loop {
-        let pull: Pull = read_message(stream, Patience::with(ASK_PATIENCE)).await?;
+        let pull: Pull = read_message(stream, TransferTimeouts::with_first_byte(PULL_IDLE_LIMIT)).await?;
         let asked_at = learner.clock().now();
         if pull.wait_millis > 0 {
             let wait = Duration::from_millis(u64::from(pull.wait_millis));
-            // What the last answer told has been seen; the sender lives as long as the learner.
-            let _ = timeout(wait, news.changed()).await;
+            // Updates in the last answer are already seen. The sender lives as long as the learner.
+            let _ = timeout(wait, updates.changed()).await;
         }
-        news.mark_unchanged();
+        updates.mark_unchanged();
         let answer = learner.answer(pull, learner.clock().now().since(asked_at));
-        let bytes = write_message(stream, &answer, Patience::with(PULL_TIME_LIMIT)).await?;
+        let bytes = write_message(stream, &answer, TransferTimeouts::with_first_byte(PULL_TIME_LIMIT)).await?;
         metrics.record_node_messages(NodeMessageKind::Feed, 1, bytes);
     }
 }
--- a/crates/relay/src/control/reader_role.rs
+++ b/crates/relay/src/control/reader_role.rs
@@ -1,4 +1,4 @@
-//! Whether this node reads the store, as the nodes that it has heard of show it.
+//! Determines from the known peers whether this node reads the store.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use havengate_core::world::Address;
 use havengate_node::clock::Clock;
 
-/// This node's part in reading the store. Copies share it.
+/// This node's role in reading the store. Clones share the state.
 #[derive(Clone)]
 pub struct ReaderRole {
     readers: Rc<RefCell<Readers>>,
@@ -18,7 +18,7 @@
 }
 
 impl ReaderRole {
-    /// The role of a node that has heard of nobody yet: it reads.
+    /// The role of a node that knows no peers yet: it is a reader.
     pub fn new(readers: Readers, clock: Clock) -> Self {
         ReaderRole {
             readers: Rc::new(RefCell::new(readers)),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Works the role out anew from the nodes that were heard of lately.
+    /// Recomputes the role from the peers that were heard from recently.
     pub fn set_peers(&self, peers: Vec<Address>) {
         let is_reader = self.readers.borrow().includes_own(&peers);
         if self.is_reader.replace(is_reader) != is_reader {
@@ -42,9 +42,9 @@
         self.is_reader.get()
     }
 
-    /// Whether this node has to ask the store for what was confirmed at `confirmed_at`: always as a reader, else when that
-    /// is stale.
-    pub fn reads(&self, confirmed_at: Option<Timestamp>) -> bool {
+    /// Whether this node has to ask the store about knowledge that was confirmed at `confirmed_at`: a reader always,
+    /// another node when that knowledge is stale.
+    pub fn must_read(&self, confirmed_at: Option<Timestamp>) -> bool {
         self.is_reader() || self.is_stale(confirmed_at)
     }
 
@@ -53,12 +53,12 @@
         self.readers.borrow().is_stale(confirmed_at, self.clock.now())
     }
 
-    /// The peer that feeds this node in the place `slot`, from 0.
+    /// The peer at index `slot` of this node's feeds, counted from 0.
     pub fn feed(&self, slot: usize) -> Option<Address> {
         self.readers.borrow().feeds(&self.peers.borrow(), self.clock.now()).get(slot).copied()
     }
 
-    /// Notes that `reader` could not be reached or knows nothing.
+    /// Records that `reader` could not be reached or that its knowledge is stale.
     pub fn suspend(&self, reader: Address) {
         self.readers.borrow_mut().suspend(reader, self.clock.now());
     }
--- a/crates/relay/src/control/thread.rs
+++ b/crates/relay/src/control/thread.rs
@@ -1,4 +1,4 @@
-//! The control thread and what it runs.
+//! Starts the control thread and its tasks.
 
 use std::io;
 use std::sync::mpsc;
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-use super::block_keeper::{BlockKeeperLink, keep_blocks};
+use super::block_keeper::{BlockKeeperLink, run_block_keeper};
 use super::duties::{Duties, DutyParts, DutySettings};
 use super::feed::learn_from_feed;
 use super::follower::{follow_configuration, follow_directory};
@@ -26,45 +26,45 @@
 use crate::protocol::{ControlStore, DutyReceiver, Protocol};
 use crate::usage::SharedUsage;
 
-/// What the control thread is given.
+/// The settings of the control thread.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
     /// The node's name.
     pub node: NodeName,
-    /// Where peers reach this node.
+    /// The address where peers reach this node.
     pub peers_address: Address,
-    /// Where this node takes notices of readings.
+    /// The address where this node receives notices from peers.
     pub notices_address: Address,
-    /// Peers that are told of this node from the start; a reload may change them.
+    /// Peers that are sent digests from the start; a reload may change them.
     pub seeds: watch::Receiver<Vec<Address>>,
-    /// How duties are done; a reload may change it.
+    /// The settings of the duties; a reload may change them.
     pub duties: watch::Receiver<DutySettings>,
 }
 
-/// What the control thread shares with the traffic thread.
+/// The state that the control thread shares with the traffic thread.
 #[derive(Clone)]
 pub struct SharedWithTraffic {
-    /// What the control thread knows.
+    /// The control thread's knowledge.
     pub knowledge: SharedKnowledge,
-    /// What this node's callers ask of engines.
+    /// The demand of this node's callers.
     pub demand: SharedDemand,
-    /// What this node's callers have used.
+    /// The usage of this node's callers.
     pub usage: SharedUsage,
-    /// When the configuration in force was last shown to be the newest.
+    /// When the active configuration was last confirmed to be the newest.
     pub configuration_shown: SharedMoment,
-    /// What back ends have said of themselves in answers.
+    /// The announcements of back ends in their answers.
     pub notices: SharedNotices,
     /// The node's clock.
     pub clock: Clock,
-    /// Counters.
+    /// The metrics.
     pub metrics: RelayMetrics,
 }
 
-/// What the control thread calls.
+/// The remote services that the control thread calls.
 pub struct Platform<S, D> {
     /// The store.
     pub store: S,
-    /// What takes the calls of duties; `None`: there are none.
+    /// The receiver of the calls that duties make; `None` if there is none.
     pub receiver: Option<D>,
 }
 
@@ -73,7 +73,7 @@
     _thread: thread::JoinHandle<()>,
 }
 
-/// Starts the control thread, once it takes part in the exchange with peers.
+/// Starts the control thread and waits until its exchange with peers is bound.
 ///
 /// # Errors
 /// When the thread or its runtime can't be started, or the address for peers can't be bound.
@@ -96,7 +96,7 @@
             let role = ReaderRole::new(readers, clock);
             match bind(&settings, role.clone(), learner.clone(), metrics.clone()).await {
                 Ok((peers, listener)) => {
-                    // The start has been given up when nobody waits for this any more.
+                    // The receiver is dropped only if the start was abandoned.
                     let _ = bound_sender.send(Ok(()));
                     let parts = DutyParts {
                         node: settings.node.clone(),
@@ -114,7 +114,13 @@
                     };
                     tokio::task::spawn_local(Duties::new(parts).run());
                     let own = settings.notices_address;
-                    tokio::task::spawn_local(keep_blocks(store.clone(), blocks, own, metrics.clone(), learner.eras()));
+                    tokio::task::spawn_local(run_block_keeper(
+                        store.clone(),
+                        blocks,
+                        own,
+                        metrics.clone(),
+                        learner.eras(),
+                    ));
                     run(settings, peers, listener, store, role, learner, metrics).await;
                 }
                 Err(error) => drop(bound_sender.send(Err(error))),
@@ -125,7 +131,7 @@
     match bound.recv() {
         Ok(Ok(())) => Ok(ControlHandle { _thread: thread }),
         Ok(Err(error)) => Err(error),
-        Err(_) => Err(io::Error::other("the control thread ended at its start")),
+        Err(_) => Err(io::Error::other("the control thread stopped during startup")),
     }
 }
 
@@ -161,5 +167,5 @@
     tokio::task::spawn_local(peers.fetcher().run());
     tokio::task::spawn_local(peers.clone().receive());
     tokio::task::spawn_local(peers.clone().answer_pulls(listener));
-    peers.spread(settings.seeds).await;
+    peers.exchange_digests(settings.seeds).await;
 }
--- a/crates/relay/src/control/transfer.rs
+++ b/crates/relay/src/control/transfer.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes over a connection, one frame each, and how much of one had come when it was given up.
+//! Sends and receives messages between nodes over a connection, one frame each, with timeouts that report the progress.
 
 use std::fmt;
 use std::io;
@@ -12,86 +12,87 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// What goes wrong between nodes.
+/// An error in the exchange of messages between nodes.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum PeersError {
     /// the connection failed: {0}
     Connection(#[from] io::Error),
-    /// the message is none: {0}
+    /// the message is invalid: {0}
     Message(#[from] WireError),
     /// the peer took too long: {0}
     TooSlow(Progress),
 }
 
-/// How much of a message had passed when it was given up.
+/// How much of a message was transferred before the timeout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Bytes that had passed.
-    pub passed: usize,
-    /// Bytes of the whole message; `None` while that is not known.
-    pub whole: Option<usize>,
+    /// Bytes transferred.
+    pub transferred: usize,
+    /// The size of the message in bytes; `None` while it is not known.
+    pub total: Option<usize>,
 }
 
 impl fmt::Display for Progress {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.whole {
-            Some(whole) => write!(formatter, "{} of {whole} bytes had passed", self.passed),
-            None => write!(formatter, "{} bytes had passed", self.passed),
+        match self.total {
+            Some(total) => write!(formatter, "{} of {total} bytes transferred", self.transferred),
+            None => write!(formatter, "{} bytes transferred", self.transferred),
         }
     }
 }
 
-/// How long a message may take. What has come of a large one is not thrown away because the link is narrow: as long as bytes
-/// pass, only the whole time ends it.
+/// The timeouts of one message. A partly transferred large message is not discarded because the link is slow: as long
+/// as bytes arrive, only the total timeout ends the transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
-    /// Until the first byte passes.
-    pub first: Duration,
-    /// Between two bytes.
-    pub silence: Duration,
-    /// For the whole message, so that a peer that trickles doesn't hold its place for ever.
-    pub whole: Duration,
+pub struct TransferTimeouts {
+    /// The limit until the first byte is transferred.
+    pub first_byte: Duration,
+    /// The limit between two bytes.
+    pub idle: Duration,
+    /// The limit for the whole message, so that a peer that sends very slowly doesn't occupy a connection indefinitely.
+    pub total: Duration,
 }
 
-impl Patience {
-    /// Patience with a peer that may take `first` before its first byte.
-    pub fn with(first: Duration) -> Self {
-        Patience { first, silence: IDLE_TIME_LIMIT, whole: first + MESSAGE_TIME_LIMIT }
+impl TransferTimeouts {
+    /// The timeouts for a peer that may take `first_byte` before its first byte.
+    pub fn with_first_byte(first_byte: Duration) -> Self {
+        TransferTimeouts { first_byte, idle: IDLE_TIME_LIMIT, total: first_byte + MESSAGE_TIME_LIMIT }
     }
 }
 
-/// The longest that a connection to a peer may take to come up.
+/// The time limit for establishing a connection to a peer.
 pub const CONNECT_TIME_LIMIT: Duration = Duration::from_millis(300);
 
-/// The longest silence within a message: some times the 200 ms after which a lost packet is sent again at the earliest.
+/// The longest pause within a message: several times the 200 ms after which a lost packet is retransmitted at the
+/// earliest.
 pub const IDLE_TIME_LIMIT: Duration = Duration::from_secs(1);
 
-/// The longest time of a whole message: a megabyte at 1 Mbit/s.
+/// The time limit for a whole message after its first byte is due: a megabyte at 1 Mbit/s.
 pub const MESSAGE_TIME_LIMIT: Duration = Duration::from_secs(8);
 
 /// The deadlines of one message.
 struct Deadlines {
-    patience: Patience,
-    whole: Instant,
-    next: Instant,
+    timeouts: TransferTimeouts,
+    total: Instant,
+    next_byte: Instant,
 }
 
 impl Deadlines {
-    fn new(patience: Patience) -> Self {
+    fn new(timeouts: TransferTimeouts) -> Self {
         let now = Instant::now();
-        let whole = now + patience.whole;
-        Deadlines { patience, whole, next: (now + patience.first).min(whole) }
+        let total = now + timeouts.total;
+        Deadlines { timeouts, total, next_byte: (now + timeouts.first_byte).min(total) }
     }
 
-    fn bytes_passed(&mut self) {
-        self.next = (Instant::now() + self.patience.silence).min(self.whole);
+    fn bytes_transferred(&mut self) {
+        self.next_byte = (Instant::now() + self.timeouts.idle).min(self.total);
     }
 }
 
-/// A connection to the peer at `address`, which sends each message at once.
+/// Connects to the peer at `address`, with Nagle's algorithm disabled.
 ///
 /// # Errors
-/// When it is refused, or has not come up within `limit`.
+/// When the connection is refused, or is not established within `limit`.
 pub async fn connect(address: Address, limit: Duration) -> Result<TcpStream, PeersError> {
     let connecting = timeout(limit, TcpStream::connect(address.0)).await;
     let stream = connecting.map_err(|_| PeersError::TooSlow(Progress::default()))??;
@@ -102,47 +103,47 @@
 /// Sends `pull` and reads the answer.
 ///
 /// # Errors
-/// When the connection fails, or either takes longer than `patience` allows.
-pub async fn ask(stream: &mut TcpStream, pull: &Pull, patience: Patience) -> Result<PullAnswer, PeersError> {
-    write_message(stream, pull, patience).await?;
-    read_message(stream, patience).await
+/// When the connection fails, or either message exceeds `timeouts`.
+pub async fn ask(stream: &mut TcpStream, pull: &Pull, timeouts: TransferTimeouts) -> Result<PullAnswer, PeersError> {
+    write_message(stream, pull, timeouts).await?;
+    read_message(stream, timeouts).await
 }
 
-/// Writes a message as one frame and returns its bytes.
+/// Writes a message as one frame and returns the frame's size in bytes.
 ///
 /// # Errors
-/// When the connection fails, or takes longer than `patience` allows.
+/// When the connection fails, or the message exceeds `timeouts`.
 pub async fn write_message<M: Writable<LittleEndian>>(
     stream: &mut TcpStream,
     message: &M,
-    patience: Patience,
+    timeouts: TransferTimeouts,
 ) -> Result<usize, PeersError> {
     let frame = frame_of(message)?;
-    let mut deadlines = Deadlines::new(patience);
-    let mut passed = 0;
-    while passed < frame.len() {
-        let progress = Progress { passed, whole: Some(frame.len()) };
-        let written = timeout_at(deadlines.next, stream.write(&frame[passed..])).await;
-        passed += written.map_err(|_| PeersError::TooSlow(progress))??;
-        deadlines.bytes_passed();
+    let mut deadlines = Deadlines::new(timeouts);
+    let mut transferred = 0;
+    while transferred < frame.len() {
+        let progress = Progress { transferred, total: Some(frame.len()) };
+        let written = timeout_at(deadlines.next_byte, stream.write(&frame[transferred..])).await;
+        transferred += written.map_err(|_| PeersError::TooSlow(progress))??;
+        deadlines.bytes_transferred();
     }
     Ok(frame.len())
 }
 
-/// Reads one frame with a message.
+/// Reads one frame and decodes the message in it.
 ///
 /// # Errors
-/// When the connection fails, the frame holds no such message, or it takes longer than `patience` allows.
+/// When the connection fails, the frame holds no such message, or the message exceeds `timeouts`.
 pub async fn read_message<M: for<'a> Readable<'a, LittleEndian>>(
     stream: &mut TcpStream,
-    patience: Patience,
+    timeouts: TransferTimeouts,
 ) -> Result<M, PeersError> {
-    let mut deadlines = Deadlines::new(patience);
+    let mut deadlines = Deadlines::new(timeouts);
     let mut length = [0; LENGTH_BYTES];
     read_exactly(stream, &mut length, &mut deadlines, None).await?;
     let mut payload = vec![0; payload_length(length)?];
-    let whole = payload.len();
-    read_exactly(stream, &mut payload, &mut deadlines, Some(whole)).await?;
+    let total = payload.len();
+    read_exactly(stream, &mut payload, &mut deadlines, Some(total)).await?;
     Ok(decode(&payload)?)
 }
 
@@ -150,16 +151,16 @@
     stream: &mut TcpStream,
     bytes: &mut [u8],
     deadlines: &mut Deadlines,
-    whole: Option<usize>,
+    total: Option<usize>,
 ) -> Result<(), PeersError> {
-    let mut passed = 0;
-    while passed < bytes.len() {
-        let read = timeout_at(deadlines.next, stream.read(&mut bytes[passed..])).await;
-        match read.map_err(|_| PeersError::TooSlow(Progress { passed, whole }))?? {
+    let mut transferred = 0;
+    while transferred < bytes.len() {
+        let read = timeout_at(deadlines.next_byte, stream.read(&mut bytes[transferred..])).await;
+        match read.map_err(|_| PeersError::TooSlow(Progress { transferred, total }))?? {
             0 => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
-            read => passed += read,
+            read => transferred += read,
         }
-        deadlines.bytes_passed();
+        deadlines.bytes_transferred();
     }
     Ok(())
 }
--- a/crates/relay/tests/announcement.rs
+++ b/crates/relay/tests/announcement.rs
@@ -1,4 +1,4 @@
-//! The announcement of changes of stages fits one datagram.
+//! An announcement of stage changes fits one datagram.
 
 use havengate_core::authority::Term;
 use havengate_core::back_ends::EngineStage;
@@ -14,6 +14,6 @@
     let engines = (0..ChangesConfig::default().at_once_maximum).map(|number| (name(number), EngineStage::Prefill));
     let sender = Address(std::net::SocketAddr::from(([10, 0, 0, 1], 8_000)));
     let notice = StageNotice { sender, term: Term(u64::MAX), engines: engines.collect() };
-    let bytes = encode(&PeerMessage::Stages(notice)).expect("it can be written");
+    let bytes = encode(&PeerMessage::Stages(notice)).expect("the message can be encoded");
     assert!(bytes.len() <= DATAGRAM_MAXIMUM_BYTES, "{} bytes", bytes.len());
 }
--- a/crates/relay/tests/learner.rs
+++ b/crates/relay/tests/learner.rs
@@ -1,4 +1,4 @@
-//! What one node takes in from another: steps of the configuration, ages, and lives of back ends.
+//! How a node applies what it pulls from another: configuration updates, ages, and incarnations of back ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,37 +17,37 @@
 struct Node {
     learner: Learner,
     knowledge: SharedKnowledge,
-    shown: SharedMoment,
+    configuration_shown: SharedMoment,
     metrics: RelayMetrics,
 }
 
 impl Node {
     fn new() -> Self {
-        let (metrics, shown) = (RelayMetrics::new(), SharedMoment::default());
+        let (metrics, configuration_shown) = (RelayMetrics::new(), SharedMoment::default());
         let knowledge: SharedKnowledge = Arc::new(ArcSwap::from_pointee(Knowledge::nothing()));
-        // Ages are subtracted from the clock, which must not end at its start.
+        // Ages are subtracted from the clock, so it must start well after zero.
         let clock = Clock::start_with_past(Duration::from_secs(100));
-        let learner = Learner::new(Arc::clone(&knowledge), shown.clone(), clock, metrics.clone());
-        Node { learner, knowledge, shown, metrics }
+        let learner = Learner::new(Arc::clone(&knowledge), configuration_shown.clone(), clock, metrics.clone());
+        Node { learner, knowledge, configuration_shown, metrics }
     }
 
     fn version(&self) -> u64 {
         self.knowledge.load().configuration_number().0
     }
 
-    /// Asks `peer` for its configuration; returns how many pieces came.
+    /// Pulls the configuration from `peer`; returns the number of updates received.
     fn fetch_from(&self, peer: &Node) -> usize {
         let asked_at = self.learner.clock().now();
         let answer = peer.learner.answer(self.learner.pull_of_configuration(), Duration::ZERO);
-        let pieces = answer.configuration.len();
-        self.learner.learn(answer, asked_at);
-        pieces
+        let updates = answer.configuration.len();
+        self.learner.apply_answer(answer, asked_at);
+        updates
     }
 
-    fn new_lives(&self) -> u64 {
+    fn new_incarnations(&self) -> u64 {
         let text = self.metrics.encode().expect("metrics are text");
         let line = text.lines().find_map(|line| line.strip_prefix("havengate_new_lives_total "));
-        line.and_then(|count| count.parse().ok()).expect("lives are counted")
+        line.and_then(|count| count.parse().ok()).expect("the counter is exported")
     }
 }
 
@@ -62,7 +62,7 @@
     TrafficConfiguration { version, routes: Vec::new(), services: Vec::new(), limits, tenants: None }
 }
 
-fn life(started: u64) -> BackEnd {
+fn incarnation(started: u64) -> BackEnd {
     BackEnd {
         id: BackEndId::of_life(BackEndName::new("engine-1"), Some(StartMoment(started))),
         service: "model".into(),
@@ -76,16 +76,16 @@
 }
 
 #[test]
-fn a_node_follows_the_steps_of_another_and_tells_them_on() {
+fn a_node_applies_the_updates_of_another_and_forwards_them() {
     let (reader, second, third) = (Node::new(), Node::new(), Node::new());
     reader.learner.adopt_configuration(configuration(3, 10));
-    assert_eq!(second.fetch_from(&reader), 1, "all of it");
+    assert_eq!(second.fetch_from(&reader), 1, "the full configuration");
     assert_eq!(third.fetch_from(&second), 1);
     for version in [5, 6, 9] {
         reader.learner.adopt_configuration(configuration(version, 10 * version));
     }
     assert_eq!((second.fetch_from(&reader), second.version()), (3, 9));
-    assert_eq!((third.fetch_from(&second), third.version()), (3, 9), "the steps as they were told");
+    assert_eq!((third.fetch_from(&second), third.version()), (3, 9), "the updates as they were received");
     assert_eq!(third.knowledge.load().configuration.as_ref().map(|active| active.configuration.clone()), {
         Some(configuration(9, 90))
     });
@@ -94,23 +94,23 @@
 }
 
 #[test]
-fn a_node_that_cannot_follow_a_step_is_told_all_of_it_next() {
+fn a_node_that_cannot_apply_an_update_pulls_the_full_configuration_next() {
     let (reader, other) = (Node::new(), Node::new());
     reader.learner.adopt_configuration(configuration(3, 10));
-    // Another writer has given the same version to another configuration.
+    // Another writer has assigned the same version to a different configuration.
     other.learner.adopt_configuration(TrafficConfiguration { tenants: Some(Vec::new()), ..configuration(3, 77) });
     let mut second = configuration(4, 20);
     second.tenants = Some(Vec::new());
     reader.learner.adopt_configuration(second.clone());
-    let steps = reader.learner.answer(other.learner.pull_of_configuration(), Duration::ZERO);
-    assert_eq!(steps.configuration.len(), 1);
+    let first_answer = reader.learner.answer(other.learner.pull_of_configuration(), Duration::ZERO);
+    assert_eq!(first_answer.configuration.len(), 1);
     other.fetch_from(&reader);
     other.fetch_from(&reader);
     assert_eq!(other.knowledge.load().configuration.as_ref().map(|active| active.configuration.clone()), Some(second));
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_never_replaces_a_newer_one() {
     let (ahead, behind) = (Node::new(), Node::new());
     ahead.learner.adopt_configuration(configuration(9, 10));
     behind.learner.adopt_configuration(configuration(5, 10));
@@ -120,46 +120,49 @@
 }
 
 #[test]
-fn what_a_peer_confirms_counts_only_for_one_that_has_what_the_peer_has() {
+fn a_confirmation_counts_only_for_a_node_that_has_the_configuration_of_the_peer() {
     let (reader, second) = (Node::new(), Node::new());
     reader.learner.adopt_configuration(configuration(3, 10));
-    reader.learner.note_configuration_at(Position::from(Revision(40)));
+    reader.learner.advance_configuration_position(Position::from(Revision(40)));
     reader.learner.confirm_configuration(reader.learner.clock().now());
-    reader.learner.show_configuration(reader.learner.clock().now());
+    reader.learner.mark_configuration_current(reader.learner.clock().now());
     let asked_at = second.learner.clock().now();
-    let without_news = reader.learner.answer(second.learner.pull_of_directory(Duration::ZERO), Duration::ZERO);
-    second.learner.learn(without_news, asked_at);
-    assert_eq!((second.learner.configuration_confirmed_at(), second.shown.get()), (None, None));
-    assert_eq!(second.learner.configuration_at(), None);
+    let without_configuration = reader.learner.answer(second.learner.pull_of_directory(Duration::ZERO), Duration::ZERO);
+    second.learner.apply_answer(without_configuration, asked_at);
+    assert_eq!((second.learner.configuration_confirmed_at(), second.configuration_shown.get()), (None, None));
+    assert_eq!(second.learner.configuration_position(), None);
     second.fetch_from(&reader);
-    assert!(second.learner.configuration_confirmed_at().is_some() && second.shown.get().is_some());
-    assert_eq!(second.learner.configuration_at(), Some(Position::from(Revision(40))));
+    assert!(second.learner.configuration_confirmed_at().is_some() && second.configuration_shown.get().is_some());
+    assert_eq!(second.learner.configuration_position(), Some(Position::from(Revision(40))));
 }
 
 #[test]
-fn the_way_of_an_answer_makes_nothing_younger() {
+fn the_transit_time_of_an_answer_does_not_reduce_ages() {
     let (reader, second) = (Node::new(), Node::new());
     reader.learner.adopt_listing(DirectoryListing::default(), reader.learner.clock().now(), Source::Store);
-    // The answer was asked for ten seconds ago, and made after half a second.
+    // The answer was requested ten seconds ago and created half a second later.
     let asked_at = second.learner.clock().now() - Duration::from_secs(10);
     let answer = reader.learner.answer(second.learner.pull_of_directory(Duration::ZERO), Duration::from_millis(500));
-    second.learner.learn(answer, asked_at);
-    let confirmed_at = second.knowledge.load().directory_confirmed_at.expect("it was confirmed");
+    second.learner.apply_answer(answer, asked_at);
+    let confirmed_at = second.knowledge.load().directory_confirmed_at.expect("the directory was confirmed");
     assert!(confirmed_at <= asked_at + Duration::from_millis(500));
 }
 
 #[test]
-fn a_new_life_counts_once_though_its_news_come_again() {
+fn a_new_incarnation_counts_once_despite_repeated_updates() {
     let node = Node::new();
-    let listing =
-        DirectoryListing { position: Position::from(Revision(10)), back_ends: vec![life(1)], spoiled: Vec::new() };
+    let listing = DirectoryListing {
+        position: Position::from(Revision(10)),
+        back_ends: vec![incarnation(1)],
+        spoiled: Vec::new(),
+    };
     let now = || node.learner.clock().now();
     node.learner.adopt_listing(listing, now(), Source::Store);
-    let changes = vec![DirectoryChange::Put(life(2)), DirectoryChange::Put(life(3))];
-    let news = |revision| DirectoryChanges { position: Position::from(Revision(revision)), changes: changes.clone() };
-    node.learner.apply_changes(news(12), now(), Source::Store);
-    assert_eq!(node.new_lives(), 1, "the life that had ended before it was heard of is none");
-    node.learner.apply_changes(news(12), now(), Source::Peer);
-    node.learner.apply_changes(news(13), now(), Source::Peer);
-    assert_eq!(node.new_lives(), 1);
+    let changes = vec![DirectoryChange::Put(incarnation(2)), DirectoryChange::Put(incarnation(3))];
+    let update = |revision| DirectoryChanges { position: Position::from(Revision(revision)), changes: changes.clone() };
+    node.learner.apply_changes(update(12), now(), Source::Store);
+    assert_eq!(node.new_incarnations(), 1, "an incarnation that ended before it was observed does not count");
+    node.learner.apply_changes(update(12), now(), Source::Peer);
+    node.learner.apply_changes(update(13), now(), Source::Peer);
+    assert_eq!(node.new_incarnations(), 1);
 }
--- a/crates/relay/tests/transfer.rs
+++ b/crates/relay/tests/transfer.rs
@@ -1,10 +1,10 @@
-//! How long a message between nodes may take: as long as bytes pass, a narrow link is no reason to begin it anew.
+//! Timeouts of messages between nodes: as long as bytes arrive, a slow link must not abort and restart a transfer.
 
 use std::time::Duration;
 
 use havengate_core::replication::PackedUpdate;
 use havengate_core::routing::ConfigurationNumber;
-use havengate_relay::control::{Patience, PeersError, Progress, read_message};
+use havengate_relay::control::{PeersError, Progress, TransferTimeouts, read_message};
 use havengate_wire::{LENGTH_BYTES, frame_of};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -14,9 +14,12 @@
 const PIECES: usize = 25;
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Far more than a pause, and less than all of them.
-const PATIENT: Patience =
-    Patience { first: Duration::from_secs(2), silence: Duration::from_secs(2), whole: Duration::from_secs(60) };
+/// The idle timeout is far longer than one pause and shorter than all of them together.
+const LONG_TIMEOUTS: TransferTimeouts = TransferTimeouts {
+    first_byte: Duration::from_secs(2),
+    idle: Duration::from_secs(2),
+    total: Duration::from_secs(60),
+};
 
 fn message() -> PackedUpdate {
     PackedUpdate { version: ConfigurationNumber(7), bytes: vec![5; 50_000] }
@@ -24,8 +27,10 @@
 
 async fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback can be bound");
-    let sender = TcpStream::connect(listener.local_addr().expect("it has an address")).await.expect("it listens");
-    let (receiver, _) = listener.accept().await.expect("somebody has connected");
+    let sender = TcpStream::connect(listener.local_addr().expect("the listener has an address"))
+        .await
+        .expect("the listener accepts");
+    let (receiver, _) = listener.accept().await.expect("the sender has connected");
     (sender, receiver)
 }
 
@@ -34,43 +39,44 @@
 }
 
 #[test]
-fn a_message_that_comes_slowly_is_read_to_its_end() {
+fn a_message_that_arrives_slowly_is_read_completely() {
     run(async {
         let (mut sender, mut receiver) = connection().await;
-        let frame = frame_of(&message()).expect("it fits a frame");
+        let frame = frame_of(&message()).expect("the message fits a frame");
         let send = async {
             for piece in frame.chunks(frame.len().div_ceil(PIECES)) {
                 sender.write_all(piece).await.expect("the receiver reads");
                 sleep(PAUSE).await;
             }
         };
-        let (read, ()) = tokio::join!(read_message::<PackedUpdate>(&mut receiver, PATIENT), send);
-        assert_eq!(read.expect("it is whole"), message());
+        let (read, ()) = tokio::join!(read_message::<PackedUpdate>(&mut receiver, LONG_TIMEOUTS), send);
+        assert_eq!(read.expect("the message is complete"), message());
     });
 }
 
 #[test]
-fn a_message_that_falls_silent_is_given_up_and_how_much_had_come_is_told() {
+fn a_message_that_stalls_times_out_and_reports_the_progress() {
     run(async {
         let (mut sender, mut receiver) = connection().await;
-        let frame = frame_of(&message()).expect("it fits a frame");
+        let frame = frame_of(&message()).expect("the message fits a frame");
         sender.write_all(&frame[..LENGTH_BYTES + 1_000]).await.expect("the receiver reads");
-        let patience = Patience { silence: Duration::from_millis(200), ..PATIENT };
-        let error = read_message::<PackedUpdate>(&mut receiver, patience).await.expect_err("it never comes whole");
-        let progress = Progress { passed: 1_000, whole: Some(frame.len() - LENGTH_BYTES) };
-        assert!(matches!(error, PeersError::TooSlow(told) if told == progress), "{error}");
+        let timeouts = TransferTimeouts { idle: Duration::from_millis(200), ..LONG_TIMEOUTS };
+        let error =
+            read_message::<PackedUpdate>(&mut receiver, timeouts).await.expect_err("the message is never complete");
+        let progress = Progress { transferred: 1_000, total: Some(frame.len() - LENGTH_BYTES) };
+        assert!(matches!(error, PeersError::TooSlow(reported) if reported == progress), "{error}");
     });
 }
 
 #[test]
-fn a_peer_that_trickles_does_not_hold_its_place_for_ever() {
+fn a_peer_that_sends_very_slowly_times_out() {
     run(async {
         let (mut sender, mut receiver) = connection().await;
-        let frame = frame_of(&message()).expect("it fits a frame");
-        let patience = Patience { whole: Duration::from_secs(1), ..PATIENT };
+        let frame = frame_of(&message()).expect("the message fits a frame");
+        let timeouts = TransferTimeouts { total: Duration::from_secs(1), ..LONG_TIMEOUTS };
         let trickle = async {
             for byte in &frame {
-                // The receiver has given up in the end.
+                // The write fails when the receiver has closed the connection after its timeout.
                 if sender.write_all(&[*byte]).await.is_err() {
                     return;
                 }
@@ -78,7 +84,7 @@
             }
         };
         tokio::select! {
-            read = read_message::<PackedUpdate>(&mut receiver, patience) => {
+            read = read_message::<PackedUpdate>(&mut receiver, timeouts) => {
                 assert!(matches!(read, Err(PeersError::TooSlow(_))));
             }
             () = trickle => panic!("the whole message was read"),
