--- a/crates/core/src/duties/candidates.rs
+++ b/crates/core/src/duties/candidates.rs
@@ -56,7 +56,7 @@
     ///
     /// A holder goes on while it is a candidate: a change of hands takes longer than most duties may wait, and a first node
     /// that has just come back knows nothing of what was counted.
-    pub fn is_to_act(
+    pub fn should_act(
         &mut self,
         ranked: &[Address],
         holds: bool,
--- a/crates/core/src/duties/fleet/policy.rs
+++ b/crates/core/src/duties/fleet/policy.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether anything is ordered at all.
-    pub fn orders(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.config.policy != FleetPolicyName::None
     }
 
--- a/crates/core/src/duties/lease.rs
+++ b/crates/core/src/duties/lease.rs
@@ -3,7 +3,7 @@
 //!
 //! No clock of another machine is trusted. A holder counts its time from the moment at which it *sent* a renewal that the
 //! store acknowledged; a candidate counts from the moment at which it *learned* of the revision that it saw last. The first
-//! lies before the store's write and the second after it, so with [`LeaseConfig::lapse`] above
+//! lies before the store's write and the second after it, so with [`LeaseConfig::takeover_delay`] above
 //! [`LeaseConfig::order_window`] by more than an order may take, two holders never order within
 //! [`LeaseConfig::hand_over`] of each other.
 //!
@@ -71,13 +71,13 @@
 
 impl LeaseConfig {
     /// How long a candidate must have known of the same revision before it takes the lease.
-    pub fn lapse(&self) -> Duration {
+    pub fn takeover_delay(&self) -> Duration {
         self.order_window + self.order_time_limit + self.hand_over + self.margin
     }
 
     /// How long after a renewal nobody else can have taken the lease, whatever the store has forgotten.
     fn undisputed(&self) -> Duration {
-        self.lapse() - self.margin
+        self.takeover_delay() - self.margin
     }
 }
 
@@ -208,13 +208,13 @@
     /// whoever held it has ceased to order.
     fn take_without_record(&self, seen: &Seen, now: Timestamp) -> LeaseStep {
         if seen.version.revision.is_some() {
-            return self.take_after(self.config.lapse(), seen, seen.since, now);
+            return self.take_after(self.config.takeover_delay(), seen, seen.since, now);
         }
         let (era, since) = self.era_known;
         let may_be_forgotten = seen.version.era.is_told();
         // Whoever held it in a former era held it before this process heard of the new one.
         let since = if era == seen.version.era { since.min(seen.since) } else { seen.since };
-        self.take_after(if may_be_forgotten { self.config.lapse() } else { Duration::ZERO }, seen, since, now)
+        self.take_after(if may_be_forgotten { self.config.takeover_delay() } else { Duration::ZERO }, seen, since, now)
     }
 
     fn take_after(&self, lapse: Duration, seen: &Seen, since: Timestamp, now: Timestamp) -> LeaseStep {
@@ -240,7 +240,7 @@
     }
 
     /// Notes since when this process knows of an era of the store.
-    pub fn note_era(&mut self, era: StoreEra, since: Timestamp) {
+    pub fn record_era(&mut self, era: StoreEra, since: Timestamp) {
         if era > self.era_known.0 {
             self.era_known = (era, since);
         }
@@ -256,7 +256,7 @@
         }
         // Whatever it is, it is not the write that this process has seen acknowledged last.
         self.confirmed = None;
-        self.note_era(version.era, now);
+        self.record_era(version.era, now);
         if self.seen.as_ref().is_some_and(|seen| seen.version.era < version.era) {
             let undisputed = self.config.undisputed();
             self.goes_on = self.renewed_at.is_some_and(|renewed_at| now.since(renewed_at) < undisputed);
@@ -306,7 +306,7 @@
 
     /// Notes that a write was refused since the object has changed, or that nobody knows whether it took effect; or that
     /// an order had no answer. Nothing is ordered before the lease has been seen to hold anew.
-    pub fn doubt(&mut self) {
+    pub fn require_reread(&mut self) {
         self.confirmed = None;
         self.doubtful = true;
     }
@@ -315,7 +315,7 @@
     pub fn fenced(&mut self, term: Term) {
         self.highest = self.highest.max(Term(term.0.saturating_add(1)));
         (self.renewed_at, self.goes_on) = (None, false);
-        self.doubt();
+        self.require_reread();
     }
 
     /// The moment from which on nothing may be ordered any more unless the lease is renewed before.
@@ -329,7 +329,7 @@
     }
 
     /// The revision of an object that is no lease, where there is one in its place.
-    pub fn spoiled_at(&self) -> Option<Revision> {
+    pub fn malformed_at(&self) -> Option<Revision> {
         self.seen.as_ref().filter(|seen| seen.record.is_none())?.version.revision
     }
 
@@ -355,7 +355,7 @@
     /// on its way. Waiting as for another node, a holder that was killed and came back at once did nothing for ten seconds.
     fn lapse_of(&self, record: &LeaseRecord, seen: &Seen) -> Duration {
         let is_own_node = record.holder.node == self.own.node && Self::is_of_its_era(record, seen);
-        if is_own_node { self.config.order_time_limit } else { self.config.lapse() }
+        if is_own_node { self.config.order_time_limit } else { self.config.takeover_delay() }
     }
 
     fn next_term(&self) -> Term {
--- a/crates/core/src/duties/usage/counts.rs
+++ b/crates/core/src/duties/usage/counts.rs
@@ -14,7 +14,7 @@
     /// The sender's address for its peers; names the node.
     pub sender: Address,
     /// Tells the lives of the sender's process apart.
-    pub life: u64,
+    pub incarnation: u64,
     /// The window.
     pub window: WindowNumber,
     /// The counts, which only rise.
@@ -94,7 +94,7 @@
     }
 
     /// Forgets all but `receivers`, so that one that becomes a receiver anew is told all.
-    pub fn keep(&mut self, receivers: &[Address]) {
+    pub fn retain_receivers(&mut self, receivers: &[Address]) {
         self.told.retain(|receiver, _| receivers.contains(receiver));
     }
 
--- a/crates/core/src/duties/usage/ledger.rs
+++ b/crates/core/src/duties/usage/ledger.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UsageStep {
     /// Nothing is due.
-    Rest,
+    Idle,
     /// Read the ledger.
     Read,
     /// Write it.
@@ -104,12 +104,12 @@
     /// What is to be done at `true_time`, when `table` shows what was counted.
     pub fn step(&self, config: &UsageConfig, table: &UsageTable, true_time: Duration) -> UsageStep {
         let Some(last) = config.last_settled(true_time) else {
-            return UsageStep::Rest;
+            return UsageStep::Idle;
         };
         let Some(known) = &self.known else {
             let is_unsettled = self.reported.keys().any(|window| !self.settled.contains(window));
             let is_due = is_unsettled || table.first_window().is_some_and(|first| first <= last);
-            return if is_due { UsageStep::Read } else { UsageStep::Rest };
+            return if is_due { UsageStep::Read } else { UsageStep::Idle };
         };
         let restored = known.ledger.with(&self.reported);
         if restored != known.ledger {
@@ -124,11 +124,11 @@
             Some(newest) => newest.next().max(first_kept),
             None => match table.first_window() {
                 Some(first) => first.max(first_kept),
-                None => return UsageStep::Rest,
+                None => return UsageStep::Idle,
             },
         };
         if next > last {
-            return UsageStep::Rest;
+            return UsageStep::Idle;
         }
         let mut ledger = known.ledger.clone();
         ledger.push(UsageReport { window: next, counts: table.totals(next) });
@@ -149,7 +149,7 @@
             self.begins_at = self.begins_at.max(unreported);
         }
         for report in &ledger.reports {
-            self.note_reported(report);
+            self.record_reported(report);
         }
         self.is_complete = true;
         self.observe(ledger, version);
@@ -164,13 +164,13 @@
     }
 
     /// Takes in that the ledger at `version` is lost: whatever was reported before the window `first` stays as it is.
-    pub fn begin_anew(&mut self, version: ObjectVersion, first: WindowNumber) {
+    pub fn start_new_ledger(&mut self, version: ObjectVersion, first: WindowNumber) {
         self.begins_at = self.begins_at.max(first);
         self.observe(UsageLedger::default(), version);
     }
 
     /// Notes that a report is about to be sent, or may have been: from here on its window is never reported otherwise.
-    pub fn note_reported(&mut self, report: &UsageReport) {
+    pub fn record_reported(&mut self, report: &UsageReport) {
         self.reported.entry(report.window).or_insert_with(|| report.clone());
         while self.reported.len() > REPORTS_KEPT {
             self.reported.pop_first();
@@ -184,14 +184,14 @@
     }
 
     /// Notes that the ledger may be another by now: a write was refused or had no answer.
-    pub fn doubt(&mut self) {
+    pub fn require_reread(&mut self) {
         self.known = None;
     }
 
     /// Notes that another node may have held the lease, and reported what this process doesn't know.
     pub fn hand_over(&mut self) {
         self.is_complete = false;
-        self.doubt();
+        self.require_reread();
     }
 
     /// Notes that the receiver has taken the report of `window`, or will never take it.
--- a/crates/core/src/duties/usage/table.rs
+++ b/crates/core/src/duties/usage/table.rs
@@ -25,7 +25,7 @@
             return false;
         }
         let of_window = self.windows.entry(message.window).or_default();
-        let known = of_window.entry((message.sender, message.life)).or_default();
+        let known = of_window.entry((message.sender, message.incarnation)).or_default();
         let mut is_news = false;
         for (tenant, count) in &message.counts {
             let known = known.entry(tenant.clone()).or_default();
--- a/crates/core/tests/back_end_lives.rs
+++ b/crates/core/tests/back_end_lives.rs
@@ -223,15 +223,15 @@
     let mut lease = Lease::new(LeaseConfig::default(), own);
     lease.observe(None, ObjectVersion::default().at(Revision(730)), START);
     assert_eq!(lease.is_unclaimed(), Some(false));
-    assert_eq!(lease.step(START), LeaseStep::Wait(LeaseConfig::default().lapse()));
-    let after = START + LeaseConfig::default().lapse();
+    assert_eq!(lease.step(START), LeaseStep::Wait(LeaseConfig::default().takeover_delay()));
+    let after = START + LeaseConfig::default().takeover_delay();
     let LeaseStep::Write(write) = lease.step(after) else {
         panic!("the lease can be taken");
     };
     assert_eq!((write.record.term, write.expected), (Term(731), ObjectVersion::default().at(Revision(730))));
     // Spoiled anew, its time begins anew.
     lease.observe(None, ObjectVersion::default().at(Revision(740)), after);
-    assert_eq!(lease.step(after), LeaseStep::Wait(LeaseConfig::default().lapse()));
+    assert_eq!(lease.step(after), LeaseStep::Wait(LeaseConfig::default().takeover_delay()));
 }
 
 #[test]
@@ -242,12 +242,12 @@
     for window in 0..8 {
         let window = WindowNumber(350_000_000 + window);
         let sender = Address(SocketAddr::from(([10, 0, 0, 1], 7_000)));
-        let message = UsageCountsMessage { sender, life: 1, window, counts: vec![("press".into(), 3)] };
+        let message = UsageCountsMessage { sender, incarnation: 1, window, counts: vec![("press".into(), 3)] };
         table.receive(&message);
     }
     let mut reports = UsageReports::default();
-    reports.begin_anew(ObjectVersion::default().at(Revision(9)), config.first_unreported(at(12.0)));
-    assert_eq!(reports.step(&config, &table, at(12.0)), UsageStep::Rest, "windows 0 to 2 may have been reported");
+    reports.start_new_ledger(ObjectVersion::default().at(Revision(9)), config.first_unreported(at(12.0)));
+    assert_eq!(reports.step(&config, &table, at(12.0)), UsageStep::Idle, "windows 0 to 2 may have been reported");
     let UsageStep::Write(write) = reports.step(&config, &table, at(40.0)) else {
         panic!("later windows are due");
     };
--- a/crates/core/tests/duties_candidates.rs
+++ b/crates/core/tests/duties_candidates.rs
@@ -23,28 +23,31 @@
 fn the_first_acts_and_the_next_only_while_the_first_is_silent() {
     let ranked = [address(1), address(2)];
     let mut first = watch_of(1);
-    assert!(first.is_to_act(&ranked, false, |_| None, seconds(10.0)));
+    assert!(first.should_act(&ranked, false, |_| None, seconds(10.0)));
     let mut next = watch_of(2);
     let heard = |at: f64| move |_| Some(seconds(at));
-    assert!(!next.is_to_act(&ranked, false, heard(9.5), seconds(10.0)));
-    assert!(!next.is_to_act(&ranked, false, heard(9.5), seconds(12.0)));
-    assert!(next.is_to_act(&ranked, false, heard(9.5), seconds(13.5)));
-    assert!(!next.is_to_act(&ranked, false, heard(13.6), seconds(13.7)), "the first is back");
+    assert!(!next.should_act(&ranked, false, heard(9.5), seconds(10.0)));
+    assert!(!next.should_act(&ranked, false, heard(9.5), seconds(12.0)));
+    assert!(next.should_act(&ranked, false, heard(9.5), seconds(13.5)));
+    assert!(!next.should_act(&ranked, false, heard(13.6), seconds(13.7)), "the first is back");
 }
 
 #[test]
 fn one_that_has_just_learned_who_is_before_it_waits_for_a_sign_of_it() {
     let mut next = watch_of(2);
-    assert!(!next.is_to_act(&[address(1), address(2)], false, |_| None, seconds(10.0)));
-    assert!(next.is_to_act(&[address(1), address(2)], false, |_| None, seconds(13.5)));
-    assert!(!next.is_to_act(&[address(3), address(2)], false, |_| None, seconds(13.6)), "another one is before it now");
+    assert!(!next.should_act(&[address(1), address(2)], false, |_| None, seconds(10.0)));
+    assert!(next.should_act(&[address(1), address(2)], false, |_| None, seconds(13.5)));
+    assert!(
+        !next.should_act(&[address(3), address(2)], false, |_| None, seconds(13.6)),
+        "another one is before it now"
+    );
 }
 
 #[test]
 fn a_holder_goes_on_while_it_is_a_candidate() {
     let mut next = watch_of(2);
-    assert!(next.is_to_act(&[address(1), address(2)], true, |_| Some(seconds(10.0)), seconds(10.0)));
-    assert!(!next.is_to_act(&[address(1), address(3)], true, |_| Some(seconds(10.0)), seconds(10.0)));
+    assert!(next.should_act(&[address(1), address(2)], true, |_| Some(seconds(10.0)), seconds(10.0)));
+    assert!(!next.should_act(&[address(1), address(3)], true, |_| Some(seconds(10.0)), seconds(10.0)));
 }
 
 const EPOCH: Duration = Duration::from_secs(1_780_000_000);
--- a/crates/core/tests/duties_lease.rs
+++ b/crates/core/tests/duties_lease.rs
@@ -133,7 +133,7 @@
             Some(InFlight::Written { write, revision: Some(revision), sent }) => {
                 node.lease.written(write, revision, sent, now);
             }
-            Some(InFlight::Written { revision: None, .. } | InFlight::Lost) => node.lease.doubt(),
+            Some(InFlight::Written { revision: None, .. } | InFlight::Lost) => node.lease.require_reread(),
             None => {}
         }
     }
@@ -145,7 +145,7 @@
         LeaseStep::Order(term) => {
             orders.push(Order { tick, holder: node.id.clone(), term });
             if random.u32(..40) == 0 {
-                node.lease.doubt();
+                node.lease.require_reread();
             }
             if random.u32(..400) == 0 {
                 node.lease.fenced(term);
--- a/crates/core/tests/duties_store_goes_back.rs
+++ b/crates/core/tests/duties_store_goes_back.rs
@@ -180,21 +180,21 @@
         let window = USAGE.window_at(true_time(tick));
         let sender = Address(std::net::SocketAddr::from(([10, 0, 0, self.number as u8], 7_000)));
         let counts = vec![("press".into(), random.u32(1..1_000_000))];
-        self.table.receive(&UsageCountsMessage { sender, life: self.id.life, window, counts });
+        self.table.receive(&UsageCountsMessage { sender, incarnation: self.id.life, window, counts });
     }
 
     fn hear_of(&mut self, heard: StoreEra, now: Timestamp) {
         if heard > self.era {
             (self.era, self.era_since) = (heard, now);
-            self.lease.note_era(heard, now);
+            self.lease.record_era(heard, now);
         }
     }
 
     fn take_in(&mut self, call: InFlight, tick: u64) {
         let now = self.clock(tick);
         match call {
-            InFlight::Lease { version, .. } if version.era < self.era => self.lease.doubt(),
-            InFlight::Ledger { version, .. } if version.era < self.era => self.reports.doubt(),
+            InFlight::Lease { version, .. } if version.era < self.era => self.lease.require_reread(),
+            InFlight::Ledger { version, .. } if version.era < self.era => self.reports.require_reread(),
             InFlight::Lease { record, version } => {
                 self.hear_of(version.era, now);
                 self.lease.observe(record, version, now);
@@ -217,12 +217,12 @@
             InFlight::Written { write, answered_in, .. } => {
                 self.hear_of(answered_in, now);
                 match write {
-                    Write::Lease(_) => self.lease.doubt(),
-                    Write::Ledger(_) => self.reports.doubt(),
+                    Write::Lease(_) => self.lease.require_reread(),
+                    Write::Ledger(_) => self.reports.require_reread(),
                 }
             }
-            InFlight::LeaseLost => self.lease.doubt(),
-            InFlight::LedgerLost => self.reports.doubt(),
+            InFlight::LeaseLost => self.lease.require_reread(),
+            InFlight::LedgerLost => self.reports.require_reread(),
         }
     }
 }
@@ -330,7 +330,7 @@
         }
     }
     match node.reports.step(&USAGE, &node.table, true_time(tick)) {
-        UsageStep::Rest => None,
+        UsageStep::Idle => None,
         UsageStep::Read if tick < world.away_until => Some(InFlight::LedgerLost),
         UsageStep::Read => {
             let object = &world.store.state.ledger;
@@ -339,7 +339,7 @@
         }
         UsageStep::Write(write) => Some(write_call(node, Write::Ledger(write), tick, world)),
         UsageStep::Send(report) => {
-            node.reports.note_reported(&report);
+            node.reports.record_reported(&report);
             if world.random.u8(..5) > 0 {
                 node.reports.settle(report.window);
             }
--- a/crates/core/tests/duties_usage.rs
+++ b/crates/core/tests/duties_usage.rs
@@ -26,7 +26,7 @@
 
 fn message(sender: usize, life: u64, window: u64, counts: &[(&str, u32)]) -> UsageCountsMessage {
     let counts = counts.iter().map(|(tenant, count)| ((*tenant).into(), *count)).collect();
-    UsageCountsMessage { sender: address(sender), life, window: WindowNumber(window), counts }
+    UsageCountsMessage { sender: address(sender), incarnation: life, window: WindowNumber(window), counts }
 }
 
 #[test]
@@ -103,7 +103,7 @@
 #[test]
 fn a_window_without_requests_is_reported_too_but_none_before_the_first() {
     let (mut reports, table) = (UsageReports::default(), UsageTable::default());
-    assert_eq!(reports.step(&CONFIG, &table, at(100.0)), UsageStep::Rest);
+    assert_eq!(reports.step(&CONFIG, &table, at(100.0)), UsageStep::Idle);
     let report = UsageReport { window: WindowNumber(FIRST), counts: BTreeMap::new() };
     reports.observe(
         UsageLedger { reports: vec![report], ..UsageLedger::default() },
@@ -121,7 +121,7 @@
     let report = UsageReport { window: WindowNumber(FIRST), counts: BTreeMap::new() };
     let ledger = UsageLedger { reports: vec![report.clone()], ..UsageLedger::default() };
     reports.observe(ledger.clone(), ObjectVersion::default().at(Revision(3)));
-    reports.note_reported(&report);
+    reports.record_reported(&report);
     reports.hand_over();
     assert_eq!(reports.step(&CONFIG, &UsageTable::default(), at(12.6)), UsageStep::Read);
     reports.observe(ledger, ObjectVersion::default().at(Revision(3)));
@@ -244,7 +244,7 @@
         let windows = node.counts.windows().filter(|(window, _)| due.contains(window));
         let of_window = |(window, counts): (WindowNumber, &BTreeMap<TenantName, u32>)| UsageCountsMessage {
             sender: address(number),
-            life,
+            incarnation: life,
             window,
             counts: counts.iter().map(|(tenant, count)| (tenant.clone(), *count)).collect(),
         };
@@ -266,7 +266,7 @@
     random: &mut fastrand::Rng,
 ) {
     match node.reports.step(&CONFIG, &node.table, node.now(now)) {
-        UsageStep::Rest => {}
+        UsageStep::Idle => {}
         UsageStep::Read => node
             .reports
             .observe(store.ledger.clone(), ObjectVersion { revision: store.revision, ..ObjectVersion::default() }),
@@ -279,11 +279,11 @@
                 1 => store.late.push((now + random.f64() * 12.0, write)),
                 _ => {}
             }
-            node.reports.doubt();
+            node.reports.require_reread();
         }
         UsageStep::Write(write) => match store.apply(&write) {
             Some(revision) => node.reports.written(write, revision),
-            None => node.reports.doubt(),
+            None => node.reports.require_reread(),
         },
         UsageStep::Send(report) => {
             let window = report.window;
--- a/crates/relay/src/control/duties/fleet_duty.rs
+++ b/crates/relay/src/control/duties/fleet_duty.rs
@@ -94,7 +94,7 @@
     pub async fn due(&mut self, knowledge: &Knowledge, is_serving: bool) -> Vec<FleetOrder> {
         let now = self.clock.now();
         let is_fresh = knowledge.directory_confirmed_at.is_some_and(|at| now.since(at) < DIRECTORY_FRESH);
-        if !self.policy.orders() || !is_fresh || self.pacing.pauses(now) {
+        if !self.policy.is_enabled() || !is_fresh || self.pacing.pauses(now) {
             return Vec::new();
         }
         let Some(active) = knowledge.configuration.clone() else {
--- a/crates/relay/src/control/duties/holder.rs
+++ b/crates/relay/src/control/duties/holder.rs
@@ -199,7 +199,7 @@
         let demand = self.peers.demand();
         let holds = self.lease.term().is_some();
         let heard_at = |candidate| demand.borrow().heard_at(candidate);
-        let is_to_act = self.watch.is_to_act(candidates, holds, heard_at, now);
+        let is_to_act = self.watch.should_act(candidates, holds, heard_at, now);
         is_to_act && now.since(self.started) >= SETTLING
     }
 
--- a/crates/relay/src/control/duties/lease_keeper.rs
+++ b/crates/relay/src/control/duties/lease_keeper.rs
@@ -82,7 +82,7 @@
 
     /// Orders nothing before the lease has been read and renewed.
     pub fn doubt(&mut self) {
-        self.lease.doubt();
+        self.lease.require_reread();
     }
 
     fn pauses(&self) -> bool {
@@ -93,16 +93,16 @@
         match self.store.read_lease().await {
             Ok(read) => {
                 self.metrics.record_store_call("lease_read", "ok");
-                let spoiled_before = self.lease.spoiled_at();
+                let spoiled_before = self.lease.malformed_at();
                 let era = read.version.era;
                 self.learner.observe_era(era);
                 if let Some(since) = self.learner.era_known_since(era) {
-                    self.lease.note_era(era, since);
+                    self.lease.record_era(era, since);
                 }
                 self.lease.observe(read.record, read.version, self.clock.now());
-                let spoiled = self.lease.spoiled_at();
+                let spoiled = self.lease.malformed_at();
                 if spoiled.is_some() && spoiled != spoiled_before {
-                    let pause_ms = whole_millis(self.lease.config().lapse());
+                    let pause_ms = whole_millis(self.lease.config().takeover_delay());
                     log::warn!(event = "duty_lease_unknown", call = "lease_read", error = "the lease was spoiled", pause_ms; "");
                 }
                 Some(())
@@ -128,14 +128,14 @@
             Ok(WriteEnd::Conflict) => {
                 self.metrics.record_store_call("lease_write", "conflict");
                 log::info!(event = "duty_lease_conflict", term = write.record.term.0; "");
-                self.lease.doubt();
+                self.lease.require_reread();
                 None
             }
             Err(StoreError::PreviousEra) => {
                 // It is known to count for nothing, so there is nothing to wait for.
                 self.metrics.record_store_call("lease_write", "former_era");
                 log::info!(event = "duty_lease_of_former_era", term = write.record.term.0; "");
-                self.lease.doubt();
+                self.lease.require_reread();
                 None
             }
             Err(error) => self.failed("lease_write", &error),
@@ -144,7 +144,7 @@
 
     fn failed(&mut self, call: &'static str, error: &StoreError) -> Option<()> {
         self.metrics.record_store_call(call, "failed");
-        self.lease.doubt();
+        self.lease.require_reread();
         let pause_ms = whole_millis(self.pacing.failed(self.clock.now()));
         log::warn!(event = "duty_lease_unknown", call, error:% = error, pause_ms; "");
         None
--- a/crates/relay/src/control/duties/usage_duty.rs
+++ b/crates/relay/src/control/duties/usage_duty.rs
@@ -113,7 +113,7 @@
         }
         self.told_at = Some(now);
         self.forget_what_is_done(config);
-        self.telling.keep(candidates);
+        self.telling.retain_receivers(candidates);
         for asking in self.peers.take_usage_wanted() {
             self.telling.forget(asking);
         }
@@ -140,7 +140,7 @@
             let windows = counts.windows().filter(|(window, _)| due.contains(window));
             let message = |(window, counts): (WindowNumber, &BTreeMap<TenantName, u32>)| {
                 let counts = counts.iter().map(|(tenant, count)| (tenant.clone(), *count)).collect();
-                UsageCountsMessage { sender, life, window, counts }
+                UsageCountsMessage { sender, incarnation: life, window, counts }
             };
             windows.map(message).collect()
         })
@@ -154,7 +154,7 @@
 
     /// Whether something is to be read, written or reported, for which the lease is needed.
     pub fn is_due(&self, config: &UsageConfig) -> bool {
-        !self.pacing.pauses(self.clock.now()) && self.next(config) != UsageStep::Rest
+        !self.pacing.pauses(self.clock.now()) && self.next(config) != UsageStep::Idle
     }
 
     /// Notes that another node may hold the lease.
@@ -179,7 +179,7 @@
                 return;
             }
             match self.next(config) {
-                UsageStep::Rest => return,
+                UsageStep::Idle => return,
                 UsageStep::Read => self.read(lease.succession(), config).await,
                 UsageStep::Write(write) => self.write(write).await,
                 UsageStep::Send(report) => self.send(lease, term, report, config).await,
@@ -218,7 +218,7 @@
     fn begin_anew(&mut self, version: ObjectVersion, config: &UsageConfig) {
         let first = config.first_unreported(self.usage.true_time());
         log::error!(event = "usage_begun_anew", first_window = first.0, consequence = "the windows before are not reported"; "");
-        self.reports.begin_anew(version, first);
+        self.reports.start_new_ledger(version, first);
     }
 
     async fn write(&mut self, write: LedgerWrite) {
@@ -230,11 +230,11 @@
             }
             Ok(WriteEnd::Conflict) => {
                 self.metrics.record_store_call("usage_write", "conflict");
-                self.reports.doubt();
+                self.reports.require_reread();
             }
             Err(StoreError::PreviousEra) => {
                 self.metrics.record_store_call("usage_write", "former_era");
-                self.reports.doubt();
+                self.reports.require_reread();
             }
             Err(error) => self.failed("usage_write", &error),
         }
@@ -242,7 +242,7 @@
 
     fn failed(&mut self, call: &'static str, error: &StoreError) {
         self.metrics.record_store_call(call, "failed");
-        self.reports.doubt();
+        self.reports.require_reread();
         let pause_ms = whole_millis(self.pacing.failed(self.clock.now()));
         log::warn!(event = "usage_store_failed", call, error:% = error, pause_ms; "");
     }
@@ -252,7 +252,7 @@
         if lease.order_until().is_none_or(|until| self.clock.now() >= until) {
             return;
         }
-        self.reports.note_reported(&report);
+        self.reports.record_reported(&report);
         let right = DutyRight { holder: &self.node, term, time_limit: lease.order_time_limit() };
         let answer = self.receiver.report_usage(&right, &report).await;
         let window = report.window;
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -154,7 +154,7 @@
 fn usage() -> UsageCountsMessage {
     UsageCountsMessage {
         sender: address(1),
-        life: 42,
+        incarnation: 42,
         window: WindowNumber(353_445_120),
         counts: vec![(TenantName::new("press"), 412)],
     }
