--- a/crates/relay/src/control/duties/usage_duty.rs
+++ b/crates/relay/src/control/duties/usage_duty.rs
@@ -134,13 +134,13 @@
 
     fn messages_for(&mut self, candidate: Address, config: &UsageConfig) -> Vec<UsageCountsMessage> {
         let true_time = self.usage.true_time();
-        let (sender, life, telling) = (self.own, self.life, &mut self.telling);
+        let (sender, incarnation, telling) = (self.own, self.life, &mut self.telling);
         self.usage.with_counts(|counts| {
             let due = telling.due(candidate, counts, config, true_time);
             let windows = counts.windows().filter(|(window, _)| due.contains(window));
             let message = |(window, counts): (WindowNumber, &BTreeMap<TenantName, u32>)| {
                 let counts = counts.iter().map(|(tenant, count)| (tenant.clone(), *count)).collect();
-                UsageCountsMessage { sender, incarnation: life, window, counts }
+                UsageCountsMessage { sender, incarnation, window, counts }
             };
             windows.map(message).collect()
         })
