--- a/crates/core/src/duties/answer.rs
+++ b/crates/core/src/duties/answer.rs
@@ -1,24 +1,24 @@
-//! How a call of a duty was answered.
+//! The outcome of a duty call.
 
-/// How the receiver of a duty answered a call that names its holder and term.
+/// The outcome of a duty call, which names the holder of the lease and its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyAnswer {
-    /// It was taken.
+    /// The receiver accepted the call.
     Taken,
-    /// It was not taken: a higher term was seen, or what was asked for is not to be had.
+    /// Refused: the receiver has seen a higher term, or it can't provide what the call asks for.
     Conflict,
-    /// It was not taken: there are too many calls now.
+    /// Refused: the receiver gets too many calls at present.
     Throttled,
-    /// It was not taken, nor will one like it be.
+    /// Refused, and an equal call would be refused as well.
     NotUnderstood,
-    /// It has not left this node.
+    /// The call has not left this node.
     NotSent,
-    /// Nothing is known: it may come to pass, also later.
+    /// The outcome is unknown: the call may take effect, possibly later.
     Unknown,
 }
 
 impl DutyAnswer {
-    /// The word in logs and metrics.
+    /// The value that logs and metrics use.
     pub fn code(self) -> &'static str {
         match self {
             DutyAnswer::Taken => "taken",
--- a/crates/core/src/duties/candidates.rs
+++ b/crates/core/src/duties/candidates.rs
@@ -1,4 +1,5 @@
-//! Which node is to hold the lease: the first in rank, the next one while the first is silent, and whoever holds it already.
+//! Selects the node that should hold the lease: the current holder, else the first-ranked candidate, or the second one
+//! while the first is silent.
 
 use std::time::Duration;
 
@@ -6,13 +7,13 @@
 use crate::time::Timestamp;
 use crate::world::Address;
 
-/// Ranks the nodes that may hold the lease.
+/// Hash key that ranks the nodes that may hold the lease.
 const CANDIDATES_KEY: &[u8] = b"deciders on stages";
 
-/// The nodes that are told of demand and usage: the first, and the one that stands in for it.
+/// How many nodes receive demand and usage: the first-ranked one and its substitute.
 pub const CANDIDATES: usize = 2;
 
-/// The nodes among `own` and its `peers` that are told of demand and usage, the first in rank first.
+/// The nodes among `own` and its `peers` that receive demand and usage, in rank order.
 pub fn candidates(own: Address, peers: &[Address]) -> Vec<Address> {
     let mut ranked = rank_by_address(CANDIDATES_KEY, peers.iter().copied().chain([own]), |address| *address);
     ranked.truncate(CANDIDATES);
@@ -22,8 +23,8 @@
 /// Limits of a [`HolderWatch`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderWatchConfig {
-    /// The first in rank tells the next one of its demand every second; one that was silent for this time is taken for gone.
-    /// Three of its datagrams may be lost.
+    /// The first-ranked candidate sends its demand to the next one every second; after this much silence it is assumed to
+    /// be down. Up to three of its datagrams may be lost.
     pub silence: Duration,
 }
 
@@ -33,50 +34,50 @@
     }
 }
 
-/// One candidate's view of whether it is to act.
+/// One candidate's decision whether it should act.
 ///
-/// Two nodes may think so at once; the lease lets one of them. Without standing in, a first node that was killed was missed
-/// only after the ten seconds in which peers go on naming it.
+/// Two nodes may decide to act at the same time; the lease admits only one of them. Without this substitution, a killed
+/// first-ranked node was replaced only after ten seconds, the time for which peers still list it.
 #[derive(Clone, Copy, Debug)]
 pub struct HolderWatch {
     config: HolderWatchConfig,
     own: Address,
-    /// The node that was ranked before this one, and since when.
-    before: Option<(Address, Timestamp)>,
+    /// The node ranked directly before this one, and since when that has been so.
+    predecessor: Option<(Address, Timestamp)>,
 }
 
 impl HolderWatch {
-    /// The view of the node at `own`.
+    /// The watch of the node at `own`.
     pub fn new(config: HolderWatchConfig, own: Address) -> Self {
-        HolderWatch { config, own, before: None }
+        HolderWatch { config, own, predecessor: None }
     }
 
-    /// Whether this node is to act at `now`, where `ranked` are the candidates, `holds` tells that it holds the lease, and
-    /// `heard_at` when the one ranked before it was last heard of directly.
+    /// Whether this node should act at `now`. `ranked` holds the candidates, `holds_lease` says whether this node holds the
+    /// lease, and `received_at` gives the time of the last message received directly from a node.
     ///
-    /// A holder goes on while it is a candidate: a change of hands takes longer than most duties may wait, and a first node
-    /// that has just come back knows nothing of what was counted.
+    /// A holder continues while it is a candidate: a handover takes longer than most duties may wait, and a first-ranked
+    /// node that has just restarted lacks the counts.
     pub fn should_act(
         &mut self,
         ranked: &[Address],
-        holds: bool,
-        heard_at: impl Fn(Address) -> Option<Timestamp>,
+        holds_lease: bool,
+        received_at: impl Fn(Address) -> Option<Timestamp>,
         now: Timestamp,
     ) -> bool {
-        let Some(place) = ranked.iter().position(|candidate| *candidate == self.own) else {
-            self.before = None;
+        let Some(rank) = ranked.iter().position(|candidate| *candidate == self.own) else {
+            self.predecessor = None;
             return false;
         };
-        let Some(before) = place.checked_sub(1).map(|place| ranked[place]) else {
-            self.before = None;
+        let Some(predecessor) = rank.checked_sub(1).map(|rank| ranked[rank]) else {
+            self.predecessor = None;
             return true;
         };
-        let since = match self.before {
-            Some((known, since)) if known == before => since,
+        let since = match self.predecessor {
+            Some((known, since)) if known == predecessor => since,
             _ => now,
         };
-        self.before = Some((before, since));
-        let last_sign = heard_at(before).map_or(since, |heard_at| heard_at.max(since));
-        holds || now.since(last_sign) >= self.config.silence
+        self.predecessor = Some((predecessor, since));
+        let last_received = received_at(predecessor).map_or(since, |received_at| received_at.max(since));
+        holds_lease || now.since(last_received) >= self.config.silence
     }
 }
--- a/crates/core/src/duties/fleet/mod.rs
+++ b/crates/core/src/duties/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! How many engines there are: planned from prices and from what a loss costs, ordered by the holder of the lease.
+//! The number of engines: planned from prices and from the cost of losing a zone, ordered by the holder of the lease.
 //!
-//! Engines come in two kinds. On-demand ones stay; preemptible ones cost a part of that, and those of one zone may be taken
-//! away together at any moment. [`FleetPolicy`] plans how many of each kind a zone is to have, [`FleetOrders`] orders what
-//! differs from the plan.
+//! Engines come in two kinds. On-demand engines are never preempted; preemptible engines cost a fraction of the on-demand
+//! price, and all those of a zone may be preempted together at any time. [`FleetPolicy`] plans how many of each kind a zone
+//! should have, and [`FleetOrders`] issues orders where the present engines differ from the plan.
 
 mod orders;
 mod policy;
--- a/crates/core/src/duties/fleet/orders.rs
+++ b/crates/core/src/duties/fleet/orders.rs
@@ -1,4 +1,4 @@
-//! Which orders bring a service to its plan, and when one is given again.
+//! Decides which orders bring a service to its plan, and when an order is repeated.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::time::Timestamp;
 use crate::world::{ServiceName, ZoneName};
 
-/// An order of how many engines of a kind a service is to have in a zone.
+/// An order that sets how many engines of a kind a service has in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetOrder {
     /// The service.
@@ -18,72 +18,72 @@
     pub zone: ZoneName,
     /// The kind.
     pub kind: EngineKind,
-    /// How many there are to be.
+    /// The number of engines to have.
     pub engines: u32,
 }
 
 /// Limits of [`FleetOrders`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetOrdersConfig {
-    /// Engines that are not there so long after their boot time are ordered again: some have ended, or a call of an earlier
-    /// holder came to pass late.
-    pub again_after: Duration,
-    /// Where none were to be had, none are asked for during this time. Each call has a price, and what was taken away at
-    /// once comes back some seconds later.
-    pub scarce: Duration,
+    /// Engines that are still missing this long after their boot time are ordered again: some have terminated, or a call of
+    /// an earlier holder took effect late.
+    pub retry_after: Duration,
+    /// After an order was refused for lack of capacity, none is sent for the same engines during this time. Each call costs
+    /// something, and preempted capacity becomes available again only some seconds later.
+    pub scarcity_backoff: Duration,
 }
 
 impl Default for FleetOrdersConfig {
     fn default() -> Self {
-        FleetOrdersConfig { again_after: Duration::from_secs(4), scarce: Duration::from_millis(2_500) }
+        FleetOrdersConfig { retry_after: Duration::from_secs(4), scarcity_backoff: Duration::from_millis(2_500) }
     }
 }
 
-/// What orders are about: a service's engines of a kind in a zone.
+/// The subject of an order: a service's engines of a kind in a zone.
 type Subject = (ServiceName, ZoneName, EngineKind);
 
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct IssuedOrder {
     engines: u32,
-    at: Timestamp,
+    issued_at: Timestamp,
 }
 
-/// What the holder has ordered.
+/// The orders that the holder of the lease has issued.
 #[derive(Clone, Debug)]
 pub struct FleetOrders {
     config: FleetOrdersConfig,
-    given: BTreeMap<Subject, Given>,
+    issued: BTreeMap<Subject, IssuedOrder>,
     scarce_until: BTreeMap<Subject, Timestamp>,
-    /// Orders that were refused, for a higher term or since there are no such engines: which of the two shows by whether
-    /// the lease is renewed under the same term.
+    /// Refused orders, with the term under which each was sent. The cause is either a higher term or a lack of engines; a
+    /// renewal of the lease under the same term shows that it was the lack of engines.
     refused: BTreeMap<Subject, Term>,
 }
 
 impl FleetOrders {
-    /// Orders of a holder that has given none.
+    /// The state of a holder that has issued no orders.
     pub fn new(config: FleetOrdersConfig) -> Self {
-        FleetOrders { config, given: BTreeMap::new(), scarce_until: BTreeMap::new(), refused: BTreeMap::new() }
+        FleetOrders { config, issued: BTreeMap::new(), scarce_until: BTreeMap::new(), refused: BTreeMap::new() }
     }
 
-    /// The orders that bring `service` from the engines `present` nearer to its `plan`. New engines serve after `boot`. With
-    /// `unhurried`, what is to go stays until what is to come is there.
+    /// The orders that bring `service` from the `present` engines closer to its `plan`. New engines serve after `boot`. With
+    /// `make_before_break`, engines are removed only once their replacements are present.
     pub fn due(
         &self,
         service: &ServiceName,
         plan: &FleetPlan,
         present: &FleetPlan,
         boot: Duration,
-        unhurried: bool,
+        make_before_break: bool,
         now: Timestamp,
     ) -> Vec<FleetOrder> {
         let mut due = Vec::new();
         for (zone, wanted) in plan {
-            let there = present.get(zone).copied().unwrap_or_default();
-            let step = if unhurried { next_step(*wanted, there) } else { *wanted };
-            // What goes is ordered first: both kinds together must not exceed the most.
+            let current = present.get(zone).copied().unwrap_or_default();
+            let step = if make_before_break { next_step(*wanted, current) } else { *wanted };
+            // On-demand engines, which are replaced, are reduced first: both kinds together must not exceed the maximum.
             for kind in [EngineKind::OnDemand, EngineKind::Preemptible] {
                 let subject = (service.clone(), zone.clone(), kind);
-                if self.is_due(&subject, step.of_kind(kind), there.of_kind(kind), boot, now) {
+                if self.is_due(&subject, step.of_kind(kind), current.of_kind(kind), boot, now) {
                     let engines = step.of_kind(kind);
                     due.push(FleetOrder { service: service.clone(), zone: zone.clone(), kind, engines });
                 }
@@ -92,66 +92,67 @@
         due
     }
 
-    fn is_due(&self, subject: &Subject, wanted: u32, there: u32, boot: Duration, now: Timestamp) -> bool {
+    fn is_due(&self, subject: &Subject, wanted: u32, current: u32, boot: Duration, now: Timestamp) -> bool {
         let is_scarce = self.scarce_until.get(subject).is_some_and(|until| now < *until);
-        if wanted == there || is_scarce || self.refused.contains_key(subject) {
+        if wanted == current || is_scarce || self.refused.contains_key(subject) {
             return false;
         }
-        match self.given.get(subject) {
-            Some(given) if given.engines == wanted => now.since(given.at) >= boot + self.config.again_after,
+        match self.issued.get(subject) {
+            Some(issued) if issued.engines == wanted => now.since(issued.issued_at) >= boot + self.config.retry_after,
             _ => true,
         }
     }
 
-    /// Takes in how `order` was answered, which was given under `term`.
+    /// Records the answer to `order`, which was sent under `term`.
     pub fn answered(&mut self, order: &FleetOrder, term: Term, answer: DutyAnswer, now: Timestamp) {
         let subject = (order.service.clone(), order.zone.clone(), order.kind);
         match answer {
             DutyAnswer::Taken => {
-                self.given.insert(subject, Given { engines: order.engines, at: now });
+                self.issued.insert(subject, IssuedOrder { engines: order.engines, issued_at: now });
             }
             DutyAnswer::Conflict => {
                 self.refused.insert(subject, term);
             }
-            // It would be refused again.
+            // A repeated order would be refused as well.
             DutyAnswer::NotUnderstood => {
-                self.given.insert(subject, Given { engines: order.engines, at: now });
+                self.issued.insert(subject, IssuedOrder { engines: order.engines, issued_at: now });
             }
-            // It may come to pass late, after newer ones: what is there shows it, and is ordered anew then.
-            DutyAnswer::Unknown => drop(self.given.remove(&subject)),
+            // The order may take effect late, after newer ones. The present engines then show it, and are ordered again.
+            DutyAnswer::Unknown => drop(self.issued.remove(&subject)),
             DutyAnswer::Throttled | DutyAnswer::NotSent => {}
         }
     }
 
-    /// Whether it is open why an order was refused, which the lease shows when it is renewed.
+    /// Whether the cause of a refusal is still unresolved; the next renewal of the lease resolves it.
     pub fn has_refused(&self) -> bool {
         !self.refused.is_empty()
     }
 
-    /// Notes that the lease was renewed under `term`. Orders that were refused under the same one were refused since there
-    /// are no such engines. Returns those subjects.
+    /// Records that the lease was renewed under `term`. Orders that were refused under the same term were refused for lack
+    /// of engines; returns their subjects.
     pub fn renewed(&mut self, term: Term, now: Timestamp) -> Vec<(ServiceName, ZoneName, EngineKind)> {
         let refused = std::mem::take(&mut self.refused);
-        let scarce: Vec<Subject> = refused.into_iter().filter(|(_, under)| *under == term).map(|of| of.0).collect();
+        let scarce: Vec<Subject> =
+            refused.into_iter().filter(|(_, refused_term)| *refused_term == term).map(|entry| entry.0).collect();
         for subject in &scarce {
-            self.scarce_until.insert(subject.clone(), now + self.config.scarce);
+            self.scarce_until.insert(subject.clone(), now + self.config.scarcity_backoff);
         }
         scarce
     }
 
-    /// Forgets what was ordered: another node may order from now on.
+    /// Forgets all issued orders: another node may issue orders from now on.
     pub fn hand_over(&mut self) {
         *self = FleetOrders::new(self.config);
     }
 }
 
-/// The first step from `there` to `wanted` at which no capacity goes before its replacement is there: what is to come comes
-/// as far as there is room beside what is there, and what is to go stays meanwhile.
-fn next_step(wanted: ZoneFleet, there: ZoneFleet) -> ZoneFleet {
+/// The first step from `current` to `wanted` that removes no capacity before its replacement is present: engines are added as
+/// far as the total of `wanted` leaves room beside the current ones, which stay in the meantime.
+fn next_step(wanted: ZoneFleet, current: ZoneFleet) -> ZoneFleet {
     let total = wanted.on_demand + wanted.preemptible;
-    let room = total.saturating_sub(there.on_demand);
+    let room = total.saturating_sub(current.on_demand);
     let preemptible = wanted.preemptible.min(room);
     let on_demand =
-        if there.preemptible >= preemptible { wanted.on_demand } else { there.on_demand.max(wanted.on_demand) };
+        if current.preemptible >= preemptible { wanted.on_demand } else { current.on_demand.max(wanted.on_demand) };
     ZoneFleet { on_demand, preemptible }
 }
--- a/crates/core/src/duties/fleet/policy.rs
+++ b/crates/core/src/duties/fleet/policy.rs
@@ -1,4 +1,4 @@
-//! How many engines of each kind a service is to have in each zone.
+//! Plans how many engines of each kind a service has in each zone.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 use crate::routing::{FleetLimits, Price};
 use crate::world::ZoneName;
 
-/// Whether an engine may be taken away.
+/// Whether an engine may be preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EngineKind {
-    /// It stays.
+    /// The platform never preempts it.
     OnDemand,
-    /// It costs less, and may be taken away with all of its kind in its zone.
+    /// It costs less, and may be preempted together with all preemptible engines of its zone.
     Preemptible,
 }
 
 impl EngineKind {
-    /// The word in logs and metrics.
+    /// The value that logs and metrics use.
     pub fn code(self) -> &'static str {
         match self {
             EngineKind::OnDemand => "on_demand",
@@ -29,9 +29,9 @@
 /// The engines of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneFleet {
-    /// Those that stay.
+    /// The on-demand engines.
     pub on_demand: u32,
-    /// Those that may be taken away.
+    /// The preemptible engines.
     pub preemptible: u32,
 }
 
@@ -48,22 +48,23 @@
 /// The engines of a service by zone.
 pub type FleetPlan = BTreeMap<ZoneName, ZoneFleet>;
 
-/// The engines that a service had before anything was ordered: what its owner has sized it for.
+/// The engines that a service had before any order: the size that its owner has chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetBaseline {
     /// The engines in all zones.
     pub engines: u32,
 }
 
-/// How the number of engines is decided.
+/// Policy that decides the number of engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FleetPolicyName {
-    /// Nothing is ordered.
+    /// Issues no orders.
     None,
-    /// Each zone has the engines that the settings name.
+    /// Gives each zone the number of engines in the settings.
     Fixed,
-    /// Mostly preemptible engines, and so many that the loss of a zone's leaves more than the service was sized for.
+    /// Uses mostly preemptible engines, and enough of them that losing those of one zone leaves more engines than the
+    /// service was sized for.
     #[default]
     Hedged,
 }
@@ -72,20 +73,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetPolicyConfig {
-    /// How the number of engines is decided.
+    /// The policy that decides the number of engines.
     pub policy: FleetPolicyName,
     /// The on-demand engines of each zone under the policy `fixed`.
     pub on_demand_per_zone: u32,
     /// The preemptible engines of each zone under the policy `fixed`.
     pub preemptible_per_zone: u32,
-    /// The part of a service's size that stays on demand under `hedged`: what is left when all preemptible ones are gone.
+    /// The share of a service's size that is on demand under `hedged`: the capacity left when all preemptible engines are lost.
     pub on_demand_share: f64,
-    /// The part of a service's size that has to be left under `hedged` when a zone's preemptible engines are taken away. More
-    /// than 1: engines that are lost are lost with what they keep, and load swings.
+    /// The share of a service's size that must remain under `hedged` when a zone's preemptible engines are lost. It exceeds 1
+    /// because lost engines take their caches with them, and because load varies.
     pub left_share: f64,
-    /// A service with more engines than this is left as it is under `hedged`. Each engine that comes, leaves or takes a stage
-    /// is told to every node: with 1,000 engines and 100 nodes that was paid for by cheaper engines within 42 s, with 3,000 and
-    /// 302 it cost five times what all else did.
+    /// Under `hedged`, a service with more engines than this is left unchanged. Each engine that is added, drains or changes
+    /// its stage is announced to every node: with 1,000 engines and 100 nodes the cheaper engines made up for that cost within
+    /// 42 s; with 3,000 engines and 302 nodes it was five times the cost of everything else.
     pub engines_maximum: u32,
 }
 
@@ -107,10 +108,10 @@
 }
 
 impl FleetPolicyConfig {
-    /// Checks that each value can be reckoned with.
+    /// Checks that each value is within its range.
     ///
     /// # Errors
-    /// Names the first value that can't.
+    /// Names the first value that is out of range.
     pub fn validate(&self) -> Result<(), FleetPolicyConfigError> {
         if !(0.0..=1.0).contains(&self.on_demand_share) {
             return Err(FleetPolicyConfigError("on_demand_share: 0 to 1"));
@@ -122,7 +123,7 @@
     }
 }
 
-/// Plans how many engines a service is to have.
+/// Plans how many engines a service has.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPolicy {
     config: FleetPolicyConfig,
@@ -134,12 +135,12 @@
         FleetPolicy { config }
     }
 
-    /// Whether anything is ordered at all.
+    /// Whether the policy issues any orders.
     pub fn is_enabled(&self) -> bool {
         self.config.policy != FleetPolicyName::None
     }
 
-    /// The engines that a service is to have in each of its zones; `None`: it is left alone.
+    /// The engines that a service should have in each of its zones; `None`: the service is left unchanged.
     pub fn plan(&self, limits: &FleetLimits, baseline: FleetBaseline) -> Option<FleetPlan> {
         let zones = limits.zones();
         if zones.is_empty() || limits.minimum > limits.maximum {
@@ -152,34 +153,34 @@
             }
             FleetPolicyName::Hedged => self.hedged(limits, baseline, zones.len() as u32)?,
         };
-        let zone = within(zone, limits);
+        let zone = clamp_to_limits(zone, limits);
         Some(zones.into_iter().map(|name| (name.clone(), zone)).collect())
     }
 
-    /// Each zone alike: a zone that had more preemptible engines would lose more at once.
+    /// Plans the same fleet for each zone: a zone with more preemptible engines would lose more of them at once.
     fn hedged(&self, limits: &FleetLimits, baseline: FleetBaseline, zones: u32) -> Option<ZoneFleet> {
         let size = f64::from(baseline.engines);
-        // Nothing is left to hedge with in one zone, and nothing to be gained by engines that cost as much.
-        let has_size = (1..=self.config.engines_maximum).contains(&baseline.engines);
-        if zones < 2 || !has_size || limits.preemptible_price >= Price::WHOLE {
+        // A single zone has no other zone to hedge with, and preemptible engines at the full price save nothing.
+        let is_size_supported = (1..=self.config.engines_maximum).contains(&baseline.engines);
+        if zones < 2 || !is_size_supported || limits.preemptible_price >= Price::WHOLE {
             return None;
         }
         let on_demand = (size * self.config.on_demand_share / f64::from(zones)).ceil();
-        let wanted_left = size * self.config.left_share - on_demand * f64::from(zones);
-        let preemptible = (wanted_left / f64::from(zones - 1)).ceil().max(0.0);
-        let plan = within(ZoneFleet { on_demand: on_demand as u32, preemptible: preemptible as u32 }, limits);
+        let wanted_remaining = size * self.config.left_share - on_demand * f64::from(zones);
+        let preemptible = (wanted_remaining / f64::from(zones - 1)).ceil().max(0.0);
+        let plan = clamp_to_limits(ZoneFleet { on_demand: on_demand as u32, preemptible: preemptible as u32 }, limits);
         let price = f64::from(plan.on_demand) + f64::from(plan.preemptible) * limits.preemptible_price.as_share();
-        let left = plan.on_demand * zones + plan.preemptible * (zones - 1);
-        // Ordering is to cost less than leaving it, and a loss is to leave what the service was sized for: the limits may
-        // allow fewer engines than that takes.
-        (price * f64::from(zones) <= size && left >= baseline.engines).then_some(plan)
+        let remaining = plan.on_demand * zones + plan.preemptible * (zones - 1);
+        // The plan must not cost more than the unchanged service, and a loss must leave the size of the service: the limits may
+        // allow too few engines for that.
+        (price * f64::from(zones) <= size && remaining >= baseline.engines).then_some(plan)
     }
 }
 
-/// The nearest that the limits of both kinds together allow. On-demand engines go first.
-fn within(zone: ZoneFleet, limits: &FleetLimits) -> ZoneFleet {
+/// The fleet closest to `zone` whose total is within the limits. On-demand engines take precedence.
+fn clamp_to_limits(zone: ZoneFleet, limits: &FleetLimits) -> ZoneFleet {
     let on_demand = zone.on_demand.min(limits.maximum);
     let preemptible = zone.preemptible.min(limits.maximum - on_demand);
-    let lacking = limits.minimum.saturating_sub(on_demand + preemptible);
-    ZoneFleet { on_demand: on_demand + lacking, preemptible }
+    let missing = limits.minimum.saturating_sub(on_demand + preemptible);
+    ZoneFleet { on_demand: on_demand + missing, preemptible }
 }
--- a/crates/core/src/duties/lease.rs
+++ b/crates/core/src/duties/lease.rs
@@ -1,19 +1,19 @@
-//! The lease that one node at a time holds to give orders to engines: an object of the store that changes hands by
-//! compare-and-set alone.
+//! The lease that one node at a time holds to send orders to engines: an object in the store that is changed only by
+//! compare-and-set.
 //!
-//! No clock of another machine is trusted. A holder counts its time from the moment at which it *sent* a renewal that the
-//! store acknowledged; a candidate counts from the moment at which it *learned* of the revision that it saw last. The first
-//! lies before the store's write and the second after it, so with [`LeaseConfig::takeover_delay`] above
-//! [`LeaseConfig::order_window`] by more than an order may take, two holders never order within
+//! The protocol trusts no clock of another machine. A holder measures its time from the moment at which it *sent* a renewal
+//! that the store acknowledged; a candidate measures from the moment at which it *learned* of the latest revision. The first
+//! moment is before the store's write and the second after it, so with [`LeaseConfig::takeover_delay`] above
+//! [`LeaseConfig::order_window`] by more than an order may take, two holders never send orders within
 //! [`LeaseConfig::hand_over`] of each other.
 //!
-//! A write whose answer was lost may still take effect, seconds later. It names the revision that it replaces, so it takes
-//! effect only while nobody else has written; and a process that finds itself named without having seen its own write
-//! acknowledged renews before it orders.
+//! A write whose answer was lost may still take effect, seconds later. It is conditional on the revision that it replaces, so
+//! it takes effect only while no other process has written. A process that the record names as the holder, but that has not
+//! seen its own write acknowledged, renews the lease before it sends orders.
 //!
-//! The store may come back from an older copy, in a new era. What it then holds says nothing of who held the lease last, so each
-//! candidate counts anew, and terms go on from a number that no former era has reached. Only a holder whose last renewal is so young
-//! that nobody can have taken the lease since goes on at once.
+//! The store may be restored from an older snapshot, in a new era. Its content then doesn't show which process held the lease
+//! last, so each candidate starts its wait again, and terms continue from a number that no previous era has reached. Only a
+//! holder whose last renewal is so recent that no other process can have taken the lease since continues at once.
 
 use std::time::Duration;
 
@@ -24,37 +24,38 @@
 use crate::time::Timestamp;
 use crate::world::NodeName;
 
-/// One life of a node's process.
+/// One incarnation of a node's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderId {
     /// The node.
     pub node: NodeName,
-    /// Tells the lives of the node's process apart.
+    /// Distinguishes the incarnations of the node's process.
     pub life: u64,
 }
 
-/// What the store holds of the lease.
+/// The lease as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who holds it.
+    /// The process that holds the lease.
     pub holder: HolderId,
-    /// Rises whenever the lease changes hands, also from one life of a node to the next. Engines refuse a lower one.
+    /// Increases whenever the lease passes to another process, also from one incarnation of a node to the next. Engines refuse
+    /// lower terms.
     pub term: Term,
-    /// Counts the renewals of the term: a write that changes nothing would make no new revision.
+    /// Counts the renewals of the term: a write that changes nothing would create no new revision.
     pub renewal: u64,
 }
 
 /// The times of a [`Lease`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// For how long after an acknowledged renewal was sent orders may be sent. Each batch of orders renews anew, so it
-    /// only has to cover one batch.
+    /// How long orders may be sent, measured from the sending of an acknowledged renewal. Each batch of orders renews the
+    /// lease first, so this only has to cover one batch.
     pub order_window: Duration,
-    /// The longest that an order may be on its way before it is given up.
+    /// The longest time that an order may be in flight before it is abandoned.
     pub order_time_limit: Duration,
-    /// The time that must lie between the orders of two holders, as the engines' owner asks for it.
+    /// The minimum time between the orders of two holders, as the engines' owner requires.
     pub hand_over: Duration,
-    /// Beyond the sum of the above: clocks that run apart, a store's answer that is on its way.
+    /// Added to the sum of the above, for clock drift and for store answers in flight.
     pub margin: Duration,
 }
 
@@ -70,13 +71,13 @@
 }
 
 impl LeaseConfig {
-    /// How long a candidate must have known of the same revision before it takes the lease.
+    /// How long a candidate must have known the same revision before it takes the lease.
     pub fn takeover_delay(&self) -> Duration {
         self.order_window + self.order_time_limit + self.hand_over + self.margin
     }
 
-    /// How long after a renewal nobody else can have taken the lease, whatever the store has forgotten.
-    fn undisputed(&self) -> Duration {
+    /// How long after a renewal no other process can have taken the lease, even if the store has lost records.
+    fn exclusive_period(&self) -> Duration {
         self.takeover_delay() - self.margin
     }
 }
@@ -86,82 +87,82 @@
 pub struct LeaseWrite {
     /// The new content.
     pub record: LeaseRecord,
-    /// What it replaces; without a revision: the object must not be there.
+    /// The version that it replaces; without a revision: the object must not exist.
     pub expected: ObjectVersion,
 }
 
-/// What a node that wants to order does next.
+/// The next step of a node that wants to send orders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Read the object.
+    /// Read the lease object.
     Read,
-    /// Write it.
+    /// Write the lease object.
     Write(LeaseWrite),
-    /// Wait: another one holds it, and its lease may still be in force for so long.
+    /// Wait this long: another process holds the lease, which may still be in force.
     Wait(Duration),
-    /// Order, under this term.
+    /// Send orders under this term.
     Order(Term),
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct ObservedLease {
     record: Option<LeaseRecord>,
     version: ObjectVersion,
-    /// When this node first knew of the version.
+    /// When this node first learned of the version.
     since: Timestamp,
 }
 
-/// The bits of a term that count within an era of the store. The era stands above them, so that all terms of an era are above those of
-/// the eras before; together they have few enough bits for any reader of JSON's numbers.
+/// The low bits of a term, which count within an era of the store. The bits above hold the era, so that all terms of an era
+/// exceed those of the previous eras. Both together fit into the integers that any JSON parser represents exactly.
 const TERM_BITS: u32 = 32;
 
-/// What all terms that are taken in an era are above.
-fn terms_begin(era: StoreEra) -> Term {
+/// The exclusive lower bound of all terms taken in an era.
+fn era_term_floor(era: StoreEra) -> Term {
     Term(era.number() << TERM_BITS)
 }
 
-/// What the terms are above that are taken when the lease is as it was seen. A write of a former era that takes effect late may bring a
-/// former term back; the store's revision rises with each write all the same, and with it the terms.
-fn terms_above(version: ObjectVersion) -> Term {
-    let begin = terms_begin(version.era);
+/// The exclusive lower bound of the terms taken when the lease has this version. A late write of a previous era may bring a
+/// previous term back, but the store's revision increases with each write, and the terms increase with it.
+fn version_term_floor(version: ObjectVersion) -> Term {
+    let era_floor = era_term_floor(version.era);
     match version.revision.filter(|_| version.era.is_told()) {
-        Some(revision) => Term(begin.0 + revision.0),
-        None => begin,
+        Some(revision) => Term(era_floor.0 + revision.0),
+        None => era_floor,
     }
 }
 
-/// How a process came to the lease.
+/// How a process acquired the lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Succession {
-    /// From a holder of the same era, which has left in the store what it did.
+    /// From a holder of the same era, which has recorded its actions in the store.
     #[default]
     Followed,
-    /// From itself, though the store had forgotten that: nobody else held it between.
+    /// From itself, although the store has lost its record: no other process held the lease in between.
     WentOn,
-    /// As the first one in the store's era: of the holders before, the store may have lost what they did.
+    /// As the first holder in the store's era: the store may have lost the actions of the holders before.
     Began,
 }
 
 /// One node's view of the lease.
 ///
-/// Invariant: `confirmed` is set only while `seen` names this process as the holder, by its own acknowledged write.
+/// Invariant: `confirmed_at` is set only while `observed` names this process as the holder, by its own acknowledged write.
 #[derive(Clone, Debug)]
 pub struct Lease {
     config: LeaseConfig,
     own: HolderId,
-    seen: Option<Seen>,
+    observed: Option<ObservedLease>,
     /// When the last acknowledged renewal was sent.
-    confirmed: Option<Timestamp>,
-    /// Whether what was seen must be read again before anything is written.
-    doubtful: bool,
-    /// The highest term that this node has seen anywhere.
-    highest: Term,
-    /// When the last renewal of this process was sent that was acknowledged and not followed by another holder's.
+    confirmed_at: Option<Timestamp>,
+    /// Whether the lease must be read again before anything is written.
+    needs_reread: bool,
+    /// The highest term that this node has observed from any source.
+    highest_term: Term,
+    /// When this process sent its last acknowledged renewal, unless another holder's write followed it.
     renewed_at: Option<Timestamp>,
-    /// Whether the store went back so soon after that renewal that this process may go on at once.
-    goes_on: bool,
-    /// The newest era of the store that this process has heard of, and since when.
-    era_known: (StoreEra, Timestamp),
+    /// Whether the store was restored so soon after that renewal that this process may continue at once.
+    can_resume: bool,
+    /// The newest era of the store that this process knows, and since when.
+    newest_era: (StoreEra, Timestamp),
     succession: Succession,
 }
 
@@ -171,198 +172,200 @@
         Lease {
             config,
             own,
-            seen: None,
-            confirmed: None,
-            doubtful: false,
-            highest: Term(0),
+            observed: None,
+            confirmed_at: None,
+            needs_reread: false,
+            highest_term: Term(0),
             renewed_at: None,
-            goes_on: false,
-            era_known: (StoreEra::default(), Timestamp::ZERO),
+            can_resume: false,
+            newest_era: (StoreEra::default(), Timestamp::ZERO),
             succession: Succession::default(),
         }
     }
 
-    /// What a node that wants to give orders at `now` does next.
+    /// The next step of a node that wants to send orders at `now`.
     pub fn step(&self, now: Timestamp) -> LeaseStep {
         if let Some(term) = self.may_order(now) {
             return LeaseStep::Order(term);
         }
-        let Some(seen) = self.seen.as_ref().filter(|_| !self.doubtful) else {
+        let Some(observed) = self.observed.as_ref().filter(|_| !self.needs_reread) else {
             return LeaseStep::Read;
         };
-        if self.goes_on {
-            return self.take(seen);
+        if self.can_resume {
+            return self.take_over(observed);
         }
-        let Some(record) = &seen.record else {
-            return self.take_without_record(seen, now);
+        let Some(record) = &observed.record else {
+            return self.take_without_record(observed, now);
         };
-        if record.holder == self.own && Self::is_of_its_era(record, seen) {
-            let refused = record.term < self.highest;
-            let (term, renewal) = if refused { (self.next_term(), 0) } else { (record.term, record.renewal + 1) };
-            return LeaseStep::Write(LeaseWrite { record: self.record_of(term, renewal), expected: seen.version });
+        if record.holder == self.own && Self::is_of_observed_era(record, observed) {
+            let is_fenced = record.term < self.highest_term;
+            let (term, renewal) = if is_fenced { (self.next_term(), 0) } else { (record.term, record.renewal + 1) };
+            return LeaseStep::Write(LeaseWrite { record: self.record_of(term, renewal), expected: observed.version });
         }
-        self.take_after(self.lapse_of(record, seen), seen, seen.since, now)
+        self.take_after(self.takeover_delay_of(record, observed), observed, observed.since, now)
     }
 
-    /// Takes a lease that was never held; or one whose record another writer has spoiled, or that the store may have forgotten, as soon as
-    /// whoever held it has ceased to order.
-    fn take_without_record(&self, seen: &Seen, now: Timestamp) -> LeaseStep {
-        if seen.version.revision.is_some() {
-            return self.take_after(self.config.takeover_delay(), seen, seen.since, now);
+    /// Takes a lease that was never held. If another writer has left a malformed object or the store may have lost the record,
+    /// first waits until the previous holder no longer sends orders.
+    fn take_without_record(&self, observed: &ObservedLease, now: Timestamp) -> LeaseStep {
+        if observed.version.revision.is_some() {
+            return self.take_after(self.config.takeover_delay(), observed, observed.since, now);
         }
-        let (era, since) = self.era_known;
-        let may_be_forgotten = seen.version.era.is_told();
-        // Whoever held it in a former era held it before this process heard of the new one.
-        let since = if era == seen.version.era { since.min(seen.since) } else { seen.since };
-        self.take_after(if may_be_forgotten { self.config.takeover_delay() } else { Duration::ZERO }, seen, since, now)
+        let (era, since) = self.newest_era;
+        let may_be_lost = observed.version.era.is_told();
+        // A holder in a previous era held the lease before this process learned of the new era.
+        let since = if era == observed.version.era { since.min(observed.since) } else { observed.since };
+        self.take_after(if may_be_lost { self.config.takeover_delay() } else { Duration::ZERO }, observed, since, now)
     }
 
-    fn take_after(&self, lapse: Duration, seen: &Seen, since: Timestamp, now: Timestamp) -> LeaseStep {
+    fn take_after(&self, delay: Duration, observed: &ObservedLease, since: Timestamp, now: Timestamp) -> LeaseStep {
         let known_for = now.since(since);
-        if known_for < lapse { LeaseStep::Wait(lapse - known_for) } else { self.take(seen) }
+        if known_for < delay { LeaseStep::Wait(delay - known_for) } else { self.take_over(observed) }
     }
 
-    fn take(&self, seen: &Seen) -> LeaseStep {
-        LeaseStep::Write(LeaseWrite { record: self.record_of(self.next_term(), 0), expected: seen.version })
+    fn take_over(&self, observed: &ObservedLease) -> LeaseStep {
+        LeaseStep::Write(LeaseWrite { record: self.record_of(self.next_term(), 0), expected: observed.version })
     }
 
-    /// Whether a record was written in the era in which it was seen, and is not of an older copy.
-    fn is_of_its_era(record: &LeaseRecord, seen: &Seen) -> bool {
-        record.term > terms_begin(seen.version.era) || !seen.version.era.is_told()
+    /// Whether a record was written in the era in which it was observed, and doesn't come from an older snapshot.
+    fn is_of_observed_era(record: &LeaseRecord, observed: &ObservedLease) -> bool {
+        record.term > era_term_floor(observed.version.era) || !observed.version.era.is_told()
     }
 
     /// The term under which orders may be sent at `now`.
     pub fn may_order(&self, now: Timestamp) -> Option<Term> {
-        let confirmed = self.confirmed.filter(|confirmed| now.since(*confirmed) < self.config.order_window)?;
-        debug_assert!(confirmed <= now);
-        let record = self.seen.as_ref()?.record.as_ref()?;
-        (record.term >= self.highest).then_some(record.term)
+        let confirmed_at =
+            self.confirmed_at.filter(|confirmed_at| now.since(*confirmed_at) < self.config.order_window)?;
+        debug_assert!(confirmed_at <= now);
+        let record = self.observed.as_ref()?.record.as_ref()?;
+        (record.term >= self.highest_term).then_some(record.term)
     }
 
-    /// Notes since when this process knows of an era of the store.
+    /// Records since when this process knows an era of the store.
     pub fn record_era(&mut self, era: StoreEra, since: Timestamp) {
-        if era > self.era_known.0 {
-            self.era_known = (era, since);
+        if era > self.newest_era.0 {
+            self.newest_era = (era, since);
         }
     }
 
-    /// Takes in what a read has shown that was answered at `now`: no revision where there is no object, and a revision without
-    /// a record where the object is no lease.
+    /// Applies the result of a read that was answered at `now`: no revision means that the object doesn't exist, and a revision
+    /// without a record means that the object is malformed.
     pub fn observe(&mut self, record: Option<LeaseRecord>, version: ObjectVersion, now: Timestamp) {
-        self.doubtful = false;
-        let is_known = self.seen.as_ref().is_some_and(|seen| seen.version == version && seen.record == record);
+        self.needs_reread = false;
+        let is_known =
+            self.observed.as_ref().is_some_and(|observed| observed.version == version && observed.record == record);
         if is_known {
             return;
         }
-        // Whatever it is, it is not the write that this process has seen acknowledged last.
-        self.confirmed = None;
+        // The result differs from the last acknowledged write of this process.
+        self.confirmed_at = None;
         self.record_era(version.era, now);
-        if self.seen.as_ref().is_some_and(|seen| seen.version.era < version.era) {
-            let undisputed = self.config.undisputed();
-            self.goes_on = self.renewed_at.is_some_and(|renewed_at| now.since(renewed_at) < undisputed);
+        if self.observed.as_ref().is_some_and(|observed| observed.version.era < version.era) {
+            let exclusive_period = self.config.exclusive_period();
+            self.can_resume = self.renewed_at.is_some_and(|renewed_at| now.since(renewed_at) < exclusive_period);
         } else if record.as_ref().is_none_or(|record| record.holder != self.own) {
-            (self.renewed_at, self.goes_on) = (None, false);
+            (self.renewed_at, self.can_resume) = (None, false);
         }
         if let Some(record) = &record {
-            self.highest = self.highest.max(record.term);
+            self.highest_term = self.highest_term.max(record.term);
         }
         if let (None, Some(revision)) = (&record, version.revision) {
-            // Nobody can tell the last term any more. Each term of an era took a write, and the store's revision rises with each
-            // write, so none was further above the first.
-            let none_above = Term(terms_begin(version.era).0 + revision.0);
-            self.highest = self.highest.max(none_above);
+            // The last term is lost. Each term of an era took a write, and the store's revision increases with each write, so the
+            // revision bounds the terms of the era.
+            let term_bound = Term(era_term_floor(version.era).0 + revision.0);
+            self.highest_term = self.highest_term.max(term_bound);
         }
-        self.seen = Some(Seen { record, version, since: now });
+        self.observed = Some(ObservedLease { record, version, since: now });
     }
 
-    /// Notes that the store has acknowledged `write`, which was sent at `sent`, and the revision that it made.
+    /// Records that the store has acknowledged `write`, which was sent at `sent`, with the new revision.
     pub fn written(&mut self, write: LeaseWrite, revision: Revision, sent: Timestamp, now: Timestamp) {
-        self.highest = self.highest.max(write.record.term);
+        self.highest_term = self.highest_term.max(write.record.term);
         if write.record.renewal == 0 {
             self.succession = self.succession_of(&write);
         }
-        (self.renewed_at, self.goes_on) = (Some(sent), false);
+        (self.renewed_at, self.can_resume) = (Some(sent), false);
         let version = write.expected.at(revision);
-        self.seen = Some(Seen { record: Some(write.record), version, since: now });
-        self.confirmed = Some(sent);
-        self.doubtful = false;
+        self.observed = Some(ObservedLease { record: Some(write.record), version, since: now });
+        self.confirmed_at = Some(sent);
+        self.needs_reread = false;
     }
 
-    /// How this process came to the lease the last time.
+    /// How this process acquired the lease the last time.
     pub fn succession(&self) -> Succession {
         self.succession
     }
 
-    /// How `write` comes to the lease, which replaces what was seen last.
+    /// How `write`, which replaces the last observed version, acquires the lease.
     fn succession_of(&self, write: &LeaseWrite) -> Succession {
-        let before = self.seen.as_ref().and_then(|seen| Some((seen.record.as_ref()?, seen)));
-        let follows = before.is_some_and(|(record, seen)| Self::is_of_its_era(record, seen));
-        match (self.goes_on, follows || !write.expected.era.is_told()) {
+        let replaced = self.observed.as_ref().and_then(|observed| Some((observed.record.as_ref()?, observed)));
+        let follows = replaced.is_some_and(|(record, observed)| Self::is_of_observed_era(record, observed));
+        match (self.can_resume, follows || !write.expected.era.is_told()) {
             (true, _) => Succession::WentOn,
             (false, true) => Succession::Followed,
             (false, false) => Succession::Began,
         }
     }
 
-    /// Notes that a write was refused since the object has changed, or that nobody knows whether it took effect; or that
-    /// an order had no answer. Nothing is ordered before the lease has been seen to hold anew.
+    /// Records that a write was refused because the object has changed, that the outcome of a write is unknown, or that an
+    /// order had no answer. No orders are sent before the lease has been read and renewed again.
     pub fn require_reread(&mut self) {
-        self.confirmed = None;
-        self.doubtful = true;
+        self.confirmed_at = None;
+        self.needs_reread = true;
     }
 
-    /// Notes that an engine has refused an order as one of a lower term than it has seen: this term is over.
+    /// Records that an engine has refused an order because it has seen a higher term: `term` is no longer used.
     pub fn fenced(&mut self, term: Term) {
-        self.highest = self.highest.max(Term(term.0.saturating_add(1)));
-        (self.renewed_at, self.goes_on) = (None, false);
+        self.highest_term = self.highest_term.max(Term(term.0.saturating_add(1)));
+        (self.renewed_at, self.can_resume) = (None, false);
         self.require_reread();
     }
 
-    /// The moment from which on nothing may be ordered any more unless the lease is renewed before.
+    /// The time from which no orders may be sent unless the lease is renewed before.
     pub fn order_until(&self) -> Option<Timestamp> {
-        self.confirmed.map(|confirmed| confirmed + self.config.order_window)
+        self.confirmed_at.map(|confirmed_at| confirmed_at + self.config.order_window)
     }
 
-    /// Who is believed to hold the lease.
+    /// The holder of the lease as last observed.
     pub fn holder(&self) -> Option<&HolderId> {
-        Some(&self.seen.as_ref()?.record.as_ref()?.holder)
+        Some(&self.observed.as_ref()?.record.as_ref()?.holder)
     }
 
-    /// The revision of an object that is no lease, where there is one in its place.
+    /// The revision of a malformed object in place of the lease, if there is one.
     pub fn malformed_at(&self) -> Option<Revision> {
-        self.seen.as_ref().filter(|seen| seen.record.is_none())?.version.revision
+        self.observed.as_ref().filter(|observed| observed.record.is_none())?.version.revision
     }
 
-    /// Whether nobody has ever held the lease; `None` until it has been read.
+    /// Whether no process has ever held the lease; `None` until it has been read.
     pub fn is_unclaimed(&self) -> Option<bool> {
-        self.seen.as_ref().map(|seen| seen.record.is_none() && seen.version.revision.is_none())
+        self.observed.as_ref().map(|observed| observed.record.is_none() && observed.version.revision.is_none())
     }
 
-    /// The term that this process holds or held last; `None` when another one holds the lease.
+    /// The term that this process holds or held last; `None` when another process holds the lease.
     pub fn term(&self) -> Option<Term> {
-        let record = self.seen.as_ref()?.record.as_ref()?;
+        let record = self.observed.as_ref()?.record.as_ref()?;
         (record.holder == self.own).then_some(record.term)
     }
 
-    /// The times that this lease goes by.
+    /// The times that apply to this lease.
     pub fn config(&self) -> LeaseConfig {
         self.config
     }
 
-    /// How long a record of another process, or of a former era, must have been known.
+    /// How long a record of another process, or of a previous era, must have been known before the lease is taken.
     ///
-    /// A former process of this node has ended: two can't listen at the node's addresses. Only what it has sent may still be
-    /// on its way. Waiting as for another node, a holder that was killed and came back at once did nothing for ten seconds.
-    fn lapse_of(&self, record: &LeaseRecord, seen: &Seen) -> Duration {
-        let is_own_node = record.holder.node == self.own.node && Self::is_of_its_era(record, seen);
+    /// An earlier process of this node has terminated, since two can't listen on the node's addresses; only its requests may
+    /// still be in flight. With the full delay, a holder that was killed and restarted at once was idle for ten seconds.
+    fn takeover_delay_of(&self, record: &LeaseRecord, observed: &ObservedLease) -> Duration {
+        let is_own_node = record.holder.node == self.own.node && Self::is_of_observed_era(record, observed);
         if is_own_node { self.config.order_time_limit } else { self.config.takeover_delay() }
     }
 
     fn next_term(&self) -> Term {
-        let seen = self.seen.as_ref();
-        let term = seen.and_then(|seen| seen.record.as_ref()).map_or(Term(0), |record| record.term);
-        let above = seen.map_or(Term(0), |seen| terms_above(seen.version));
-        Term(term.max(self.highest).max(above).0.saturating_add(1))
+        let observed = self.observed.as_ref();
+        let term = observed.and_then(|observed| observed.record.as_ref()).map_or(Term(0), |record| record.term);
+        let floor = observed.map_or(Term(0), |observed| version_term_floor(observed.version));
+        Term(term.max(self.highest_term).max(floor).0.saturating_add(1))
     }
 
     fn record_of(&self, term: Term, renewal: u64) -> LeaseRecord {
--- a/crates/core/src/duties/mod.rs
+++ b/crates/core/src/duties/mod.rs
@@ -1,8 +1,8 @@
-//! Duties: what one node does for all, and what proves that it may.
+//! Duties: work that one node does for the whole deployment, and the lease that authorizes it.
 //!
-//! One node at a time holds the [`Lease`], under which it orders engines to change their stage, reports what tenants have
-//! used, and orders how many engines there are. [`candidates`] says who is to try. Everything here is without I/O:
-//! `docs/adr/0013-stages.md` and `docs/adr/0014-duties.md` have the reasons.
+//! One node at a time holds the [`Lease`], under which it orders engines to change their stage, reports the usage of
+//! tenants, and orders how many engines there are. [`candidates`] selects the nodes that try to acquire it. This module does
+//! no I/O. `docs/adr/0013-stages.md` and `docs/adr/0014-duties.md` give the reasons.
 
 mod answer;
 mod candidates;
--- a/crates/core/src/duties/true_time.rs
+++ b/crates/core/src/duties/true_time.rs
@@ -1,4 +1,4 @@
-//! The true time, as far as a machine can tell it: its time of day, but for jumps.
+//! An estimate of the true time: the machine's time of day with jumps filtered out.
 
 use std::time::Duration;
 
@@ -7,44 +7,46 @@
 /// Limits of a [`TrueTime`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrueTimeConfig {
-    /// A difference to the steady clock that changes by more than this at once is a jump. Clocks drift by far less between
-    /// two looks.
-    pub jump: Duration,
-    /// A jump that has lasted for this time is believed: the time of day was wrong before. Jumps that are faults go back
-    /// within seconds, and what was counted meanwhile would stand in the wrong windows.
-    pub believed_after: Duration,
+    /// A change of the offset from the monotonic clock by more than this at once is a jump. Clocks drift by far less between
+    /// two readings.
+    pub jump_threshold: Duration,
+    /// A jump that has lasted for this time is accepted: the time of day was wrong before. Faulty jumps are reversed within
+    /// seconds, and requests counted in the meantime would be assigned to the wrong windows.
+    pub accepted_after: Duration,
 }
 
 impl Default for TrueTimeConfig {
     fn default() -> Self {
-        TrueTimeConfig { jump: Duration::from_millis(250), believed_after: Duration::from_secs(60) }
+        TrueTimeConfig { jump_threshold: Duration::from_millis(250), accepted_after: Duration::from_secs(60) }
     }
 }
 
-/// The true time by a time of day that may jump, in microseconds since 1970.
+/// Derives the true time from a time of day that may jump, in microseconds since 1970.
 #[derive(Clone, Copy, Debug)]
 pub struct TrueTime {
     config: TrueTimeConfig,
-    /// What the steady clock lacks to the time of day, in microseconds.
+    /// The time of day minus the monotonic clock, in microseconds.
     offset: Option<i128>,
-    /// Another offset that the time of day has shown, and since when.
-    jumped: Option<(i128, Timestamp)>,
+    /// Another offset that the time of day has had since a jump, and since when.
+    pending_offset: Option<(i128, Timestamp)>,
 }
 
 impl TrueTime {
-    /// A time that goes by the first time of day that it is shown.
+    /// An estimate that starts from the first time of day passed to [`TrueTime::at`].
     pub fn new(config: TrueTimeConfig) -> Self {
-        TrueTime { config, offset: None, jumped: None }
+        TrueTime { config, offset: None, pending_offset: None }
     }
 
-    /// The true time since 1970 at the moment `now` of the steady clock, when the time of day is `of_day` since 1970.
-    pub fn at(&mut self, now: Timestamp, of_day: Duration) -> Duration {
-        let shown = micros(of_day) - i128::from(now.as_micros());
+    /// The true time since 1970 when the monotonic clock reads `now` and the time of day is `time_of_day` since 1970.
+    pub fn at(&mut self, now: Timestamp, time_of_day: Duration) -> Duration {
+        let observed_offset = micros(time_of_day) - i128::from(now.as_micros());
         let offset = match self.offset {
-            Some(offset) if self.is_jump(offset, shown) => self.after_jump(offset, shown, now),
+            Some(offset) if self.is_jump(offset, observed_offset) => {
+                self.offset_after_jump(offset, observed_offset, now)
+            }
             _ => {
-                self.jumped = None;
-                shown
+                self.pending_offset = None;
+                observed_offset
             }
         };
         self.offset = Some(offset);
@@ -52,24 +54,24 @@
         Duration::from_micros(micros)
     }
 
-    fn after_jump(&mut self, offset: i128, shown: i128, now: Timestamp) -> i128 {
-        match self.jumped {
-            Some((jumped, since)) if !self.is_jump(jumped, shown) => {
-                if now.since(since) < self.config.believed_after {
+    fn offset_after_jump(&mut self, offset: i128, observed_offset: i128, now: Timestamp) -> i128 {
+        match self.pending_offset {
+            Some((pending_offset, since)) if !self.is_jump(pending_offset, observed_offset) => {
+                if now.since(since) < self.config.accepted_after {
                     return offset;
                 }
-                self.jumped = None;
-                shown
+                self.pending_offset = None;
+                observed_offset
             }
             _ => {
-                self.jumped = Some((shown, now));
+                self.pending_offset = Some((observed_offset, now));
                 offset
             }
         }
     }
 
     fn is_jump(&self, one: i128, other: i128) -> bool {
-        (one - other).unsigned_abs() > self.config.jump.as_micros()
+        (one - other).unsigned_abs() > self.config.jump_threshold.as_micros()
     }
 }
 
--- a/crates/core/src/duties/usage/counts.rs
+++ b/crates/core/src/duties/usage/counts.rs
@@ -1,4 +1,4 @@
-//! A node's own counts, and when it tells them to whom.
+//! A node's own counts, and when to send them to which candidate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use super::window::{UsageConfig, WindowNumber};
 use crate::world::{Address, TenantName};
 
-/// The requests of each tenant that engines began in a window, as one life of a node has counted them so far.
+/// The requests of each tenant that engines started in a window, as counted so far by one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct UsageCountsMessage {
-    /// The sender's address for its peers; names the node.
+    /// The sender's address for its peers; identifies the node.
     pub sender: Address,
-    /// Tells the lives of the sender's process apart.
+    /// Distinguishes the incarnations of the sender's process.
     pub incarnation: u64,
     /// The window.
     pub window: WindowNumber,
-    /// The counts, which only rise.
+    /// The counts, which never decrease.
     pub counts: Vec<(TenantName, u32)>,
 }
 
-/// What a node has counted in the windows that are still of interest.
+/// The counts of a node in the windows that are still kept.
 #[derive(Clone, Debug, Default)]
 pub struct UsageCounts {
     windows: BTreeMap<WindowNumber, BTreeMap<TenantName, u32>>,
 }
 
 impl UsageCounts {
-    /// Counts a request of `tenant` that an engine began in `window`.
+    /// Counts a request of `tenant` that an engine started in `window`.
     pub fn record(&mut self, window: WindowNumber, tenant: &TenantName) {
         let counts = self.windows.entry(window).or_default();
         match counts.get_mut(tenant) {
@@ -37,35 +37,35 @@
         }
     }
 
-    /// Forgets windows before `first`.
+    /// Drops the windows before `first`.
     pub fn forget_before(&mut self, first: WindowNumber) {
         self.windows = self.windows.split_off(&first);
     }
 
-    /// The windows in which something was counted.
+    /// The windows that contain counts.
     pub fn windows(&self) -> impl Iterator<Item = (WindowNumber, &BTreeMap<TenantName, u32>)> {
         self.windows.iter().map(|(window, counts)| (*window, counts))
     }
 }
 
-/// How often the last counts of a window are told, since a message may be lost.
-const LAST_TOLD_TIMES: u32 = 2;
+/// How often the final counts of a window are sent, since a message may be lost.
+const FINAL_ANNOUNCEMENTS: u32 = 2;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct Announced {
     requests: u64,
     times: u32,
 }
 
-/// Which counts a node has told to which candidate.
+/// The counts that a node has announced to each candidate.
 #[derive(Clone, Debug, Default)]
 pub struct UsageAnnouncements {
-    told: BTreeMap<Address, BTreeMap<WindowNumber, Told>>,
+    announced: BTreeMap<Address, BTreeMap<WindowNumber, Announced>>,
 }
 
 impl UsageAnnouncements {
-    /// The windows whose counts are to be told to `receiver` now, at `true_time`: those that have changed, and those that
-    /// have ended and were not told twice since their last change. A receiver that was told nothing yet is told all.
+    /// The windows whose counts must be sent to `receiver` at `true_time`: those that have changed, and those that have ended
+    /// and were not sent twice since their last change. A new receiver gets all windows.
     pub fn due(
         &mut self,
         receiver: Address,
@@ -73,33 +73,33 @@
         config: &UsageConfig,
         true_time: Duration,
     ) -> Vec<WindowNumber> {
-        let present = config.window_at(true_time);
-        let told = self.told.entry(receiver).or_default();
-        told.retain(|window, _| counts.windows.contains_key(window));
+        let current_window = config.window_at(true_time);
+        let announced = self.announced.entry(receiver).or_default();
+        announced.retain(|window, _| counts.windows.contains_key(window));
         let mut due = Vec::new();
         for (window, counts) in counts.windows() {
             let requests = counts.values().map(|count| u64::from(*count)).sum();
-            let told = told.entry(window).or_default();
-            if told.requests != requests {
-                *told = Told { requests, times: 0 };
+            let announced = announced.entry(window).or_default();
+            if announced.requests != requests {
+                *announced = Announced { requests, times: 0 };
             }
-            // The counts of the present window change anyway.
-            let times = if window < present { LAST_TOLD_TIMES } else { 1 };
-            if told.times < times {
-                told.times += 1;
+            // The counts of the current window change anyway.
+            let times = if window < current_window { FINAL_ANNOUNCEMENTS } else { 1 };
+            if announced.times < times {
+                announced.times += 1;
                 due.push(window);
             }
         }
         due
     }
 
-    /// Forgets all but `receivers`, so that one that becomes a receiver anew is told all.
+    /// Drops the state of all nodes but `receivers`, so that a node that becomes a receiver again gets all windows.
     pub fn retain_receivers(&mut self, receivers: &[Address]) {
-        self.told.retain(|receiver, _| receivers.contains(receiver));
+        self.announced.retain(|receiver, _| receivers.contains(receiver));
     }
 
-    /// Notes that `receiver` knows nothing: it has started anew.
+    /// Drops the state of `receiver`, which has restarted without any counts.
     pub fn forget(&mut self, receiver: Address) {
-        self.told.remove(&receiver);
+        self.announced.remove(&receiver);
     }
 }
--- a/crates/core/src/duties/usage/mod.rs
+++ b/crates/core/src/duties/usage/mod.rs
@@ -1,12 +1,12 @@
-//! What tenants have used: each node counts the requests that engines began, the holder of the lease sums them up by window
-//! of true time and reports each window once.
+//! Usage of tenants: each node counts the requests that engines started, and the holder of the lease adds the counts up by
+//! window of true time and reports each window once.
 //!
-//! Nodes tell both candidates *cumulative* counts of each window, so that a message that is lost, comes twice or late changes
-//! nothing in the end. A report is kept in the store before it is first sent ([`UsageLedger`]): after a crash, a lost answer
-//! or a change of holder the same bytes go again, and no two reports of a window differ.
+//! Nodes send *cumulative* counts of each window to both candidates, so that lost, repeated and late messages don't change the
+//! final totals. A report is stored before it is first sent ([`UsageLedger`]): after a crash, a lost answer or a change of
+//! holder the same bytes are sent again, and no two reports of a window differ.
 //!
-//! A node that is killed takes with it what it has counted since it last told, a second's requests at most; when all nodes
-//! end at once, the windows that were not reported yet hold only what is counted after them.
+//! A killed node loses the counts since its last announcement, one second of requests at most. When all nodes terminate at
+//! once, the windows not yet reported contain only the requests counted after the restart.
 
 mod counts;
 mod ledger;
--- a/crates/core/src/duties/usage/table.rs
+++ b/crates/core/src/duties/usage/table.rs
@@ -1,4 +1,4 @@
-//! The counts of all nodes, at a candidate.
+//! The counts of all nodes, as a candidate has received them.
 
 use std::collections::BTreeMap;
 
@@ -6,36 +6,36 @@
 use super::window::WindowNumber;
 use crate::world::{Address, TenantName};
 
-/// One life of a node.
-type NodeLife = (Address, u64);
+/// One incarnation of a node.
+type NodeIncarnation = (Address, u64);
 
-/// What all nodes have counted in the windows that are still of interest.
+/// The counts of all nodes in the windows that are still kept.
 #[derive(Clone, Debug, Default)]
 pub struct UsageTable {
-    windows: BTreeMap<WindowNumber, BTreeMap<NodeLife, BTreeMap<TenantName, u32>>>,
-    /// Windows before this one are reported, or of no interest any more.
+    windows: BTreeMap<WindowNumber, BTreeMap<NodeIncarnation, BTreeMap<TenantName, u32>>>,
+    /// Windows before this one are reported or no longer needed.
     first: Option<WindowNumber>,
 }
 
 impl UsageTable {
-    /// Takes counts in; whether they told anything new. Of two messages about the same window, whichever order they come
-    /// in, the higher count of each tenant holds.
+    /// Applies received counts and returns whether any count has increased. Of two messages about the same window, in either
+    /// order, the higher count of each tenant applies.
     pub fn receive(&mut self, message: &UsageCountsMessage) -> bool {
         if self.first.is_some_and(|first| message.window < first) {
             return false;
         }
-        let of_window = self.windows.entry(message.window).or_default();
-        let known = of_window.entry((message.sender, message.incarnation)).or_default();
-        let mut is_news = false;
+        let window_counts = self.windows.entry(message.window).or_default();
+        let known = window_counts.entry((message.sender, message.incarnation)).or_default();
+        let mut has_increased = false;
         for (tenant, count) in &message.counts {
             let known = known.entry(tenant.clone()).or_default();
-            is_news |= *count > *known;
+            has_increased |= *count > *known;
             *known = (*known).max(*count);
         }
-        is_news
+        has_increased
     }
 
-    /// Forgets windows before `first` and takes nothing of them in any more.
+    /// Drops the windows before `first` and ignores further counts for them.
     pub fn forget_before(&mut self, first: WindowNumber) {
         if self.first.is_none_or(|known| known < first) {
             self.first = Some(first);
@@ -43,12 +43,12 @@
         }
     }
 
-    /// The first window of which anything was counted.
+    /// The first window that has counts.
     pub fn first_window(&self) -> Option<WindowNumber> {
         self.windows.keys().next().copied()
     }
 
-    /// The requests of each tenant in `window`, over all nodes.
+    /// The requests of each tenant in `window`, summed over all nodes.
     pub fn totals(&self, window: WindowNumber) -> BTreeMap<TenantName, u64> {
         let mut totals = BTreeMap::new();
         for counts in self.windows.get(&window).into_iter().flat_map(BTreeMap::values) {
--- a/crates/core/src/duties/usage/window.rs
+++ b/crates/core/src/duties/usage/window.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// Numbers the windows of true time: the one with number k begins k lengths of a window after the start of 1970.
+/// The number of a window of true time: window k begins k window lengths after the start of 1970.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
@@ -26,13 +26,13 @@
     }
 }
 
-/// How usage is reported, as whoever bills asks for it.
+/// How usage is reported, as the billing system requires.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageConfig {
     /// The length of a window, in seconds.
     pub window_seconds: f64,
-    /// A window is due so many seconds after its end.
+    /// The report of a window is due this many seconds after its end.
     pub late_seconds: f64,
 }
 
@@ -40,18 +40,20 @@
 #[derive(Clone, Debug, displaydoc::Display, PartialEq, Eq, thiserror::Error)]
 pub struct UsageConfigError(pub &'static str);
 
-/// The windows before the present one of which counts are kept. Longer ones are rare: a store that is away for a minute.
+/// The number of past windows whose counts are kept. Reports are rarely delayed longer than this, as by a store outage of a
+/// minute.
 const WINDOWS_KEPT: u64 = 12;
 
-/// The part of the time until a window is due in which its counts may still come in. They come within a second of its end,
-/// or of the next one where a message is lost; the rest of the time is for a holder that ends, and for a store that is away.
+/// The share of the time until a window is due in which its counts may still arrive. Counts arrive within a second of the end
+/// of the window, or within the next second if a message is lost; the rest of the time allows for a holder that terminates and
+/// for a store outage.
 const SETTLING_SHARE: f64 = 0.15;
 
 impl UsageConfig {
-    /// Checks that each value can be reckoned with.
+    /// Checks that each value is within its range.
     ///
     /// # Errors
-    /// Names the first value that can't.
+    /// Names the first value that is out of range.
     pub fn validate(&self) -> Result<(), UsageConfigError> {
         if !(0.1..=86_400.0).contains(&self.window_seconds) {
             return Err(UsageConfigError("window_seconds: 0.1 to 86400"));
@@ -62,7 +64,7 @@
         Ok(())
     }
 
-    /// The window that holds the moment `true_time` after the start of 1970.
+    /// The window that contains the time `true_time` after the start of 1970.
     pub fn window_at(&self, true_time: Duration) -> WindowNumber {
         WindowNumber((true_time.as_secs_f64() / self.window_seconds) as u64)
     }
@@ -72,18 +74,18 @@
         Duration::try_from_secs_f64((window.0.saturating_add(1)) as f64 * self.window_seconds).unwrap_or(Duration::MAX)
     }
 
-    /// The last window whose counts have come in by `true_time`; `None`: none has.
+    /// The last window whose counts have all arrived by `true_time`; `None`: there is none.
     pub fn last_settled(&self, true_time: Duration) -> Option<WindowNumber> {
         let settling = Duration::from_secs_f64(self.late_seconds * SETTLING_SHARE);
         self.window_at(true_time.checked_sub(settling)?).0.checked_sub(1).map(WindowNumber)
     }
 
-    /// The first window of which no node can have sent a report yet at `true_time`, also one whose time of day is ahead.
+    /// The first window that no node can have reported by `true_time`, even if its time of day is ahead.
     pub fn first_unreported(&self, true_time: Duration) -> WindowNumber {
         self.window_at(true_time).next()
     }
 
-    /// The first window that is still of interest at `true_time`.
+    /// The first window whose counts are still kept at `true_time`.
     pub fn first_kept(&self, true_time: Duration) -> WindowNumber {
         WindowNumber(self.window_at(true_time).0.saturating_sub(WINDOWS_KEPT))
     }
--- a/crates/core/tests/duties_candidates.rs
+++ b/crates/core/tests/duties_candidates.rs
@@ -1,4 +1,4 @@
-//! Who is to act, and what time it is.
+//! Tests of the candidate selection and of the true time estimate.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,61 +20,63 @@
 }
 
 #[test]
-fn the_first_acts_and_the_next_only_while_the_first_is_silent() {
+fn the_second_candidate_acts_only_while_the_first_is_silent() {
     let ranked = [address(1), address(2)];
     let mut first = watch_of(1);
     assert!(first.should_act(&ranked, false, |_| None, seconds(10.0)));
-    let mut next = watch_of(2);
-    let heard = |at: f64| move |_| Some(seconds(at));
-    assert!(!next.should_act(&ranked, false, heard(9.5), seconds(10.0)));
-    assert!(!next.should_act(&ranked, false, heard(9.5), seconds(12.0)));
-    assert!(next.should_act(&ranked, false, heard(9.5), seconds(13.5)));
-    assert!(!next.should_act(&ranked, false, heard(13.6), seconds(13.7)), "the first is back");
+    let mut second = watch_of(2);
+    let received = |at: f64| move |_| Some(seconds(at));
+    assert!(!second.should_act(&ranked, false, received(9.5), seconds(10.0)));
+    assert!(!second.should_act(&ranked, false, received(9.5), seconds(12.0)));
+    assert!(second.should_act(&ranked, false, received(9.5), seconds(13.5)));
+    assert!(!second.should_act(&ranked, false, received(13.6), seconds(13.7)), "the first candidate is up again");
 }
 
 #[test]
-fn one_that_has_just_learned_who_is_before_it_waits_for_a_sign_of_it() {
-    let mut next = watch_of(2);
-    assert!(!next.should_act(&[address(1), address(2)], false, |_| None, seconds(10.0)));
-    assert!(next.should_act(&[address(1), address(2)], false, |_| None, seconds(13.5)));
+fn a_candidate_with_a_new_predecessor_waits_for_the_silence_timeout() {
+    let mut second = watch_of(2);
+    assert!(!second.should_act(&[address(1), address(2)], false, |_| None, seconds(10.0)));
+    assert!(second.should_act(&[address(1), address(2)], false, |_| None, seconds(13.5)));
     assert!(
-        !next.should_act(&[address(3), address(2)], false, |_| None, seconds(13.6)),
-        "another one is before it now"
+        !second.should_act(&[address(3), address(2)], false, |_| None, seconds(13.6)),
+        "another node is ranked before it now"
     );
 }
 
 #[test]
-fn a_holder_goes_on_while_it_is_a_candidate() {
-    let mut next = watch_of(2);
-    assert!(next.should_act(&[address(1), address(2)], true, |_| Some(seconds(10.0)), seconds(10.0)));
-    assert!(!next.should_act(&[address(1), address(3)], true, |_| Some(seconds(10.0)), seconds(10.0)));
+fn a_holder_continues_while_it_is_a_candidate() {
+    let mut second = watch_of(2);
+    assert!(second.should_act(&[address(1), address(2)], true, |_| Some(seconds(10.0)), seconds(10.0)));
+    assert!(!second.should_act(&[address(1), address(3)], true, |_| Some(seconds(10.0)), seconds(10.0)));
 }
 
 const EPOCH: Duration = Duration::from_secs(1_780_000_000);
 
 #[test]
-fn a_time_of_day_that_jumps_and_goes_back_is_not_followed() {
+fn a_temporary_jump_of_the_time_of_day_is_ignored() {
     let mut time = TrueTime::new(TrueTimeConfig::default());
-    let mut at = |now: f64, of_day: f64| {
-        let told = time.at(seconds(now), EPOCH + Duration::from_secs_f64(of_day));
-        (told - EPOCH).as_secs_f64()
+    let mut at = |now: f64, time_of_day: f64| {
+        let estimated = time.at(seconds(now), EPOCH + Duration::from_secs_f64(time_of_day));
+        (estimated - EPOCH).as_secs_f64()
     };
-    let close = |told: f64, truth: f64| assert!((told - truth).abs() < 0.002, "{told}, in truth {truth}");
-    close(at(10.0, 100.0), 100.0);
-    close(at(20.0, 110.1), 110.1);
-    close(at(21.0, 113.2), 111.1);
-    close(at(25.0, 117.2), 115.1);
-    close(at(26.0, 116.1), 116.1);
-    close(at(27.0, 115.1), 117.1);
-    close(at(90.0, 178.1), 178.1);
+    let assert_close = |estimated: f64, expected: f64| {
+        assert!((estimated - expected).abs() < 0.002, "{estimated} instead of {expected}")
+    };
+    assert_close(at(10.0, 100.0), 100.0);
+    assert_close(at(20.0, 110.1), 110.1);
+    assert_close(at(21.0, 113.2), 111.1);
+    assert_close(at(25.0, 117.2), 115.1);
+    assert_close(at(26.0, 116.1), 116.1);
+    assert_close(at(27.0, 115.1), 117.1);
+    assert_close(at(90.0, 178.1), 178.1);
 }
 
 #[test]
-fn a_time_of_day_that_stays_elsewhere_is_believed_in_the_end() {
+fn a_lasting_jump_of_the_time_of_day_is_accepted_after_a_delay() {
     let mut time = TrueTime::new(TrueTimeConfig::default());
-    let mut at = |now: f64, of_day: f64| {
-        let told = time.at(seconds(now), EPOCH + Duration::from_secs_f64(of_day));
-        (told - EPOCH).as_secs_f64()
+    let mut at = |now: f64, time_of_day: f64| {
+        let estimated = time.at(seconds(now), EPOCH + Duration::from_secs_f64(time_of_day));
+        (estimated - EPOCH).as_secs_f64()
     };
     at(10.0, 100.0);
     assert!((at(20.0, 10.0) - 110.0).abs() < 0.002);
--- a/crates/core/tests/duties_lease.rs
+++ b/crates/core/tests/duties_lease.rs
@@ -1,4 +1,5 @@
-//! The lease that orders to engines need, over a store and machines that fail: histories of concurrent runs are checked.
+//! Tests of the lease that authorizes orders to engines: checks simulated histories of concurrent nodes with failures of the
+//! store and of machines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,9 +35,9 @@
     }
 }
 
-/// A call whose answer is on its way, or whose effect is.
+/// A call whose answer is in flight, or whose effect is.
 enum InFlight {
-    /// A read that was answered with this.
+    /// A read that was answered with this record and version.
     Read { record: Option<LeaseRecord>, version: ObjectVersion },
     /// A write that was answered.
     Written { write: LeaseWrite, revision: Option<Revision>, sent: Timestamp },
@@ -47,17 +48,17 @@
 struct Node {
     id: HolderId,
     lease: Lease,
-    /// What the node's own clock shows beside the true time.
+    /// The offset of the node's clock from the true time.
     origin: Duration,
     call: Option<(u64, InFlight)>,
     frozen_until: u64,
-    wants: bool,
+    wants_lease: bool,
 }
 
 impl Node {
     fn new(number: u64, life: u64, origin: Duration) -> Self {
         let id = HolderId { node: NodeName::new(format!("node-{number}")), life };
-        Node { lease: lease(id.clone()), id, origin, call: None, frozen_until: 0, wants: true }
+        Node { lease: lease(id.clone()), id, origin, call: None, frozen_until: 0, wants_lease: true }
     }
 
     fn clock(&self, tick: u64) -> Timestamp {
@@ -79,7 +80,7 @@
     term: Term,
 }
 
-/// Runs some nodes that all want to order, over a store that loses answers, applies writes late and is down for a while.
+/// Simulates nodes that all want to send orders, with a store that loses answers, applies writes late and has an outage.
 fn run(seed: u64, nodes_count: u64) -> Vec<Order> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut store = Store::default();
@@ -88,9 +89,9 @@
     let mut nodes: Vec<Node> = (0..nodes_count)
         .map(|number| Node::new(number, seed + number, Duration::from_millis(random.u64(..90_000))))
         .collect();
-    let down_from = random.u64(200..1_500);
+    let outage_start = random.u64(200..1_500);
     for tick in 0..(RUN.as_millis() / TICK.as_millis()) as u64 {
-        let is_down = (down_from..down_from + 160).contains(&tick);
+        let is_store_down = (outage_start..outage_start + 160).contains(&tick);
         late.retain(|(due, write)| {
             if *due <= tick {
                 store.apply(write);
@@ -107,8 +108,8 @@
             if node.frozen_until > tick {
                 continue;
             }
-            node.wants = if random.u32(..60) == 0 { !node.wants } else { node.wants };
-            step(node, tick, &mut store, is_down, &mut late, &mut random, &mut orders);
+            node.wants_lease = if random.u32(..60) == 0 { !node.wants_lease } else { node.wants_lease };
+            step(node, tick, &mut store, is_store_down, &mut late, &mut random, &mut orders);
         }
     }
     orders
@@ -118,7 +119,7 @@
     node: &mut Node,
     tick: u64,
     store: &mut Store,
-    is_down: bool,
+    is_store_down: bool,
     late: &mut Vec<(u64, LeaseWrite)>,
     random: &mut fastrand::Rng,
     orders: &mut Vec<Order>,
@@ -137,7 +138,7 @@
             None => {}
         }
     }
-    if !node.wants {
+    if !node.wants_lease {
         return;
     }
     let answered_at = tick + random.u64(1..12);
@@ -152,25 +153,25 @@
             }
         }
         LeaseStep::Wait(_) => {}
-        LeaseStep::Read if is_down => node.call = Some((answered_at, InFlight::Lost)),
+        LeaseStep::Read if is_store_down => node.call = Some((answered_at, InFlight::Lost)),
         LeaseStep::Read => {
             let (record, version) = (store.record.clone(), store.version());
             node.call = Some((answered_at, InFlight::Read { record, version }));
         }
         LeaseStep::Write(write) => {
             let call = match random.u32(..10) {
-                // Nobody knows: it takes effect never, or seconds later.
+                // The outcome is unknown: the write never takes effect, or takes effect seconds later.
                 0 => InFlight::Lost,
                 1 => {
                     late.push((tick + random.u64(1..240), write));
                     InFlight::Lost
                 }
-                // It takes effect, and the answer is lost.
-                2 if !is_down => {
+                // The write takes effect, but the answer is lost.
+                2 if !is_store_down => {
                     store.apply(&write);
                     InFlight::Lost
                 }
-                _ if is_down => InFlight::Lost,
+                _ if is_store_down => InFlight::Lost,
                 _ => InFlight::Written { revision: store.apply(&write), write, sent: now },
             };
             node.call = Some((answered_at, call));
@@ -179,22 +180,22 @@
 }
 
 #[test]
-fn two_holders_never_order_within_the_hand_over_of_each_other() {
+fn two_holders_never_send_orders_within_the_hand_over_time() {
     for seed in 0..300 {
         let orders = run(seed, 2 + seed % 4);
         for pair in orders.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
-            let between = TICK * (pair[1].tick - pair[0].tick) as u32;
-            // Two processes of one node are never there at once, so nothing has to lie between their orders but the time
-            // that an order may be on its way.
+            let elapsed = TICK * (pair[1].tick - pair[0].tick) as u32;
+            // Two processes of one node never run at the same time, so their orders only have to be apart by the time that
+            // an order may be in flight.
             let is_one_node = pair[0].holder.node == pair[1].holder.node;
-            let least = if is_one_node { config().order_time_limit } else { config().hand_over };
-            assert!(between >= least, "seed {seed}: two holders ordered {between:?} apart");
+            let minimum = if is_one_node { config().order_time_limit } else { config().hand_over };
+            assert!(elapsed >= minimum, "seed {seed}: two holders sent orders {elapsed:?} apart");
         }
     }
 }
 
 #[test]
-fn a_term_has_one_holder_and_terms_only_rise() {
+fn a_term_has_one_holder_and_terms_never_decrease() {
     for seed in 300..600 {
         let orders = run(seed, 2 + seed % 4);
         let mut holders: BTreeMap<Term, HolderId> = BTreeMap::new();
@@ -209,11 +210,11 @@
 }
 
 #[test]
-fn in_the_end_somebody_orders_in_spite_of_lost_answers() {
+fn orders_continue_despite_lost_answers() {
     for seed in 600..640 {
         let orders = run(seed, 3);
         let last = orders.last().map_or(0, |order| order.tick);
-        assert!(last > 1_500, "seed {seed}: the last order was given at tick {last}");
+        assert!(last > 1_500, "seed {seed}: the last order was sent at tick {last}");
     }
 }
 
@@ -232,23 +233,23 @@
 const NOW: Timestamp = Timestamp::from_millis(100_000);
 
 #[test]
-fn an_earlier_life_of_the_same_node_is_another_holder_whose_calls_are_waited_for() {
+fn a_new_incarnation_waits_for_the_calls_of_the_previous_one_before_it_takes_the_lease() {
     let mut lease = own();
     lease.observe(Some(record("own", 6, 3, 4)), at(9), NOW);
     assert_eq!(lease.step(NOW), LeaseStep::Wait(config().order_time_limit));
     let LeaseStep::Write(write) = lease.step(NOW + config().order_time_limit) else {
-        panic!("nothing of the former life is on its way any more");
+        panic!("no call of the previous incarnation is in flight any more");
     };
     assert_eq!((write.record.term, write.expected), (Term(4), at(9)));
 }
 
 #[test]
-fn a_process_that_finds_itself_named_renews_before_it_orders() {
+fn a_process_that_the_record_names_as_holder_renews_before_it_sends_orders() {
     let mut lease = own();
     lease.observe(Some(record("own", 7, 3, 0)), at(9), NOW);
     assert_eq!(lease.may_order(NOW), None);
     let LeaseStep::Write(write) = lease.step(NOW) else {
-        panic!("nothing but a renewal is possible");
+        panic!("a renewal is the only possible step");
     };
     assert_eq!((write.record.term, write.record.renewal), (Term(3), 1));
     lease.written(write, Revision(10), NOW, NOW + Duration::from_millis(4));
@@ -256,11 +257,11 @@
 }
 
 #[test]
-fn the_window_of_orders_runs_from_the_moment_at_which_the_renewal_was_sent() {
+fn the_order_window_starts_when_the_renewal_is_sent() {
     let mut lease = own();
     lease.observe(None, ObjectVersion::default(), NOW);
     let LeaseStep::Write(write) = lease.step(NOW) else {
-        panic!("nobody holds it");
+        panic!("no process holds the lease");
     };
     let late = config().order_window;
     lease.written(write, Revision(1), NOW, NOW + late);
@@ -272,24 +273,24 @@
     let mut lease = own();
     lease.observe(None, ObjectVersion::default(), NOW);
     let LeaseStep::Write(write) = lease.step(NOW) else {
-        panic!("nobody holds it");
+        panic!("no process holds the lease");
     };
     lease.written(write.clone(), Revision(1), NOW, NOW);
     lease.fenced(write.record.term);
     assert_eq!(lease.step(NOW), LeaseStep::Read);
     lease.observe(Some(write.record.clone()), at(1), NOW);
     let LeaseStep::Write(next) = lease.step(NOW) else {
-        panic!("its own lease may be written at once");
+        panic!("a process may write its own lease at once");
     };
     assert!(next.record.term > write.record.term);
 }
 
 #[test]
-fn another_holder_that_is_seen_ends_the_authority_at_once() {
+fn observing_another_holder_ends_the_authority_at_once() {
     let mut lease = own();
     lease.observe(None, ObjectVersion::default(), NOW);
     let LeaseStep::Write(write) = lease.step(NOW) else {
-        panic!("nobody holds it");
+        panic!("no process holds the lease");
     };
     lease.written(write, Revision(1), NOW, NOW);
     assert!(lease.may_order(NOW).is_some());
--- a/crates/core/tests/duties_store_goes_back.rs
+++ b/crates/core/tests/duties_store_goes_back.rs
@@ -1,4 +1,5 @@
-//! Duties over a store that comes back from older copies, again and again: histories of concurrent runs are checked.
+//! Tests of duties over a store that is repeatedly restored from older snapshots: checks simulated histories of concurrent
+//! nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,11 +17,11 @@
 const TICK: Duration = Duration::from_millis(50);
 const TICKS: u64 = 1_200;
 
-/// Copies are up to so old, in ticks.
-const COPY_AGE_MAXIMUM: u64 = 160;
+/// The maximum age of a snapshot, in ticks.
+const SNAPSHOT_AGE_MAXIMUM: u64 = 160;
 
-/// The ticks between two times that the store goes back, where nothing else happens.
-const CALM_BETWEEN: u64 = 400;
+/// The ticks between two restores in histories without other faults.
+const RESTORE_INTERVAL: u64 = 400;
 
 fn era(number: u64) -> StoreEra {
     StoreEra::new(number).expect("an era")
@@ -29,7 +30,7 @@
 const USAGE: UsageConfig = UsageConfig { window_seconds: 2.0, late_seconds: 4.0 };
 
 /// The time of day at the first tick.
-const DAY: Duration = Duration::from_secs(1_700_000_000);
+const START: Duration = Duration::from_secs(1_700_000_000);
 
 #[derive(Clone)]
 struct Object<T> {
@@ -70,11 +71,11 @@
     }
 }
 
-/// A store that keeps a copy of itself each tick.
+/// A store that takes a snapshot of itself at each tick.
 struct Store {
     era: u64,
     state: State,
-    copies: Vec<State>,
+    snapshots: Vec<State>,
 }
 
 impl Store {
@@ -82,7 +83,7 @@
         ObjectVersion { era: era(self.era), revision: object.value.is_some().then_some(Revision(object.changed_at)) }
     }
 
-    /// Applies a write if its condition holds: the revision is all that a store sees of it.
+    /// Applies a write if its condition holds. The store compares only the revision, not the era.
     fn apply(&mut self, write: &Write) -> Option<Revision> {
         let present = match write {
             Write::Lease(_) => self.version(&self.state.lease),
@@ -102,18 +103,18 @@
 
     fn tick(&mut self, random: &mut fastrand::Rng) {
         self.state.revision += u64::from(random.u8(..4) == 0);
-        self.copies.push(self.state.clone());
+        self.snapshots.push(self.state.clone());
     }
 
-    fn go_back(&mut self, ticks: u64) {
-        let kept = self.copies.len().saturating_sub(ticks as usize).max(1);
-        self.copies.truncate(kept);
-        self.state = self.copies[kept - 1].clone();
+    fn restore(&mut self, ticks: u64) {
+        let snapshots_left = self.snapshots.len().saturating_sub(ticks as usize).max(1);
+        self.snapshots.truncate(snapshots_left);
+        self.state = self.snapshots[snapshots_left - 1].clone();
         self.era += 1;
     }
 }
 
-/// A call whose answer is on its way.
+/// A call whose answer is in flight.
 enum InFlight {
     Lease {
         record: Option<LeaseRecord>,
@@ -123,7 +124,7 @@
         ledger: UsageLedger,
         version: ObjectVersion,
     },
-    /// A write that was answered in this era, with the revision that it made.
+    /// A write that was answered in the era `answered_in`, with the new revision.
     Written {
         write: Write,
         revision: Option<Revision>,
@@ -142,13 +143,13 @@
     table: UsageTable,
     term: Term,
     origin: Duration,
-    /// The newest era that this node has heard of and since when, and the tick at which it hears of the next.
+    /// The newest era that this node knows and since when, and the tick at which it learns of the next one.
     era: StoreEra,
     era_since: Timestamp,
-    hears_at: u64,
+    learns_era_at: u64,
     call: Option<(u64, InFlight)>,
     frozen_until: u64,
-    wants: bool,
+    wants_lease: bool,
 }
 
 impl Node {
@@ -164,10 +165,10 @@
             origin,
             era: StoreEra::default(),
             era_since: Timestamp::ZERO,
-            hears_at: 0,
+            learns_era_at: 0,
             call: None,
             frozen_until: 0,
-            wants: true,
+            wants_lease: true,
         }
     }
 
@@ -175,7 +176,7 @@
         Timestamp::ZERO + self.origin + TICK * tick as u32
     }
 
-    /// Counts something in the present window that no other node has counted: two that total a window for themselves differ.
+    /// Counts requests of the current window in this node's table only, so that the totals of two nodes differ.
     fn count(&mut self, tick: u64, random: &mut fastrand::Rng) {
         let window = USAGE.window_at(true_time(tick));
         let sender = Address(std::net::SocketAddr::from(([10, 0, 0, self.number as u8], 7_000)));
@@ -183,26 +184,26 @@
         self.table.receive(&UsageCountsMessage { sender, incarnation: self.id.life, window, counts });
     }
 
-    fn hear_of(&mut self, heard: StoreEra, now: Timestamp) {
-        if heard > self.era {
-            (self.era, self.era_since) = (heard, now);
-            self.lease.record_era(heard, now);
+    fn observe_era(&mut self, observed_era: StoreEra, now: Timestamp) {
+        if observed_era > self.era {
+            (self.era, self.era_since) = (observed_era, now);
+            self.lease.record_era(observed_era, now);
         }
     }
 
-    fn take_in(&mut self, call: InFlight, tick: u64) {
+    fn apply_answer(&mut self, call: InFlight, tick: u64) {
         let now = self.clock(tick);
         match call {
             InFlight::Lease { version, .. } if version.era < self.era => self.lease.require_reread(),
             InFlight::Ledger { version, .. } if version.era < self.era => self.reports.require_reread(),
             InFlight::Lease { record, version } => {
-                self.hear_of(version.era, now);
+                self.observe_era(version.era, now);
                 self.lease.observe(record, version, now);
             }
             InFlight::Ledger { ledger, version } => {
-                self.hear_of(version.era, now);
-                let is_first = self.lease.succession() == Succession::Began;
-                let known_for = if is_first { now.since(self.era_since) } else { Duration::ZERO };
+                self.observe_era(version.era, now);
+                let is_first_of_era = self.lease.succession() == Succession::Began;
+                let known_for = if is_first_of_era { now.since(self.era_since) } else { Duration::ZERO };
                 let unreported = USAGE.first_unreported(true_time(tick).saturating_sub(known_for));
                 self.reports.observe_in_era(ledger, version, unreported);
             }
@@ -215,7 +216,7 @@
                 }
             }
             InFlight::Written { write, answered_in, .. } => {
-                self.hear_of(answered_in, now);
+                self.observe_era(answered_in, now);
                 match write {
                     Write::Lease(_) => self.lease.require_reread(),
                     Write::Ledger(_) => self.reports.require_reread(),
@@ -228,7 +229,7 @@
 }
 
 fn true_time(tick: u64) -> Duration {
-    DAY + TICK * tick as u32
+    START + TICK * tick as u32
 }
 
 struct Order {
@@ -239,33 +240,35 @@
 
 struct World {
     random: fastrand::Rng,
-    /// Whether nothing happens but that the store is away and goes back.
-    is_calm: bool,
+    /// Whether outages and restores of the store are the only faults.
+    restores_only: bool,
     store: Store,
-    away_until: u64,
+    down_until: u64,
     late: Vec<(u64, Write)>,
     orders: Vec<Order>,
     reports: Vec<UsageReport>,
 }
 
-/// Runs some nodes that want to order now and then, over a store that is away and goes back, loses answers and applies writes late.
-fn run(seed: u64, is_calm: bool) -> World {
+/// Simulates nodes that want to send orders from time to time, with a store that has outages, is restored from older snapshots,
+/// loses answers and applies writes late.
+fn run(seed: u64, restores_only: bool) -> World {
     let random = fastrand::Rng::with_seed(seed);
-    let store = Store { era: 1, state: State::empty(), copies: Vec::new() };
+    let store = Store { era: 1, state: State::empty(), snapshots: Vec::new() };
     let (late, orders, reports) = (Vec::new(), Vec::new(), Vec::new());
-    let mut world = World { random, is_calm, store, away_until: 0, late, orders, reports };
+    let mut world = World { random, restores_only, store, down_until: 0, late, orders, reports };
     let count = 2 + seed % 4;
     let mut nodes: Vec<Node> = (0..count)
         .map(|number| Node::new(number, seed + number, Duration::from_millis(world.random.u64(..90_000))))
         .collect();
     for tick in 0..TICKS {
         world.store.tick(&mut world.random);
-        let goes_back = if is_calm { tick % CALM_BETWEEN == CALM_BETWEEN / 2 } else { world.random.u64(..250) == 0 };
-        if goes_back {
-            let age = world.random.u64(1..COPY_AGE_MAXIMUM);
-            world.store.go_back(age);
-            world.away_until = tick + world.random.u64(..60);
-            nodes.iter_mut().for_each(|node| node.hears_at = world.away_until + world.random.u64(..20));
+        let is_restored =
+            if restores_only { tick % RESTORE_INTERVAL == RESTORE_INTERVAL / 2 } else { world.random.u64(..250) == 0 };
+        if is_restored {
+            let age = world.random.u64(1..SNAPSHOT_AGE_MAXIMUM);
+            world.store.restore(age);
+            world.down_until = tick + world.random.u64(..60);
+            nodes.iter_mut().for_each(|node| node.learns_era_at = world.down_until + world.random.u64(..20));
         }
         let (due, late) = std::mem::take(&mut world.late).into_iter().partition(|(at, _)| *at <= tick);
         world.late = late;
@@ -274,17 +277,17 @@
             world.store.apply(write);
         }
         for (number, node) in nodes.iter_mut().enumerate() {
-            if !is_calm && world.random.u32(..1_500) == 0 {
+            if !restores_only && world.random.u32(..1_500) == 0 {
                 node.frozen_until = tick + world.random.u64(1..200);
             }
-            if !is_calm && world.random.u32(..1_200) == 0 {
+            if !restores_only && world.random.u32(..1_200) == 0 {
                 *node = Node::new(number as u64, world.random.u64(..), node.origin);
             }
             if node.frozen_until <= tick {
                 node.count(tick, &mut world.random);
-                // In calm the first node alone has something to do.
-                let changes_its_mind = world.random.u32(..60) == 0;
-                node.wants = if is_calm { number == 0 } else { node.wants != changes_its_mind };
+                // Without other faults only the first node wants the lease.
+                let toggles = world.random.u32(..60) == 0;
+                node.wants_lease = if restores_only { number == 0 } else { node.wants_lease != toggles };
                 step(node, tick, &mut world);
             }
         }
@@ -294,23 +297,23 @@
 
 fn step(node: &mut Node, tick: u64, world: &mut World) {
     let now = node.clock(tick);
-    if tick >= node.hears_at && tick >= world.away_until {
-        node.hear_of(era(world.store.era), now);
+    if tick >= node.learns_era_at && tick >= world.down_until {
+        node.observe_era(era(world.store.era), now);
     }
     if node.call.as_ref().is_some_and(|(due, _)| *due > tick) {
         return;
     }
     if let Some((_, call)) = node.call.take() {
-        node.take_in(call, tick);
+        node.apply_answer(call, tick);
     }
-    if !node.wants {
+    if !node.wants_lease {
         return;
     }
     let call = match node.lease.step(now) {
         LeaseStep::Order(term) => act(node, term, tick, world),
         LeaseStep::Wait(_) => None,
         LeaseStep::Write(write) => Some(write_call(node, Write::Lease(write), tick, world)),
-        LeaseStep::Read if tick < world.away_until => Some(InFlight::LeaseLost),
+        LeaseStep::Read if tick < world.down_until => Some(InFlight::LeaseLost),
         LeaseStep::Read => {
             let object = &world.store.state.lease;
             Some(InFlight::Lease { record: object.value.clone(), version: world.store.version(object) })
@@ -320,7 +323,7 @@
     node.call = call.map(|call| (answered_at, call));
 }
 
-/// Gives an order, and does what is due of the reports.
+/// Sends an order and makes the next step of the reports.
 fn act(node: &mut Node, term: Term, tick: u64, world: &mut World) -> Option<InFlight> {
     world.orders.push(Order { tick, holder: node.id.clone(), term });
     if node.term != term {
@@ -331,7 +334,7 @@
     }
     match node.reports.step(&USAGE, &node.table, true_time(tick)) {
         UsageStep::Idle => None,
-        UsageStep::Read if tick < world.away_until => Some(InFlight::LedgerLost),
+        UsageStep::Read if tick < world.down_until => Some(InFlight::LedgerLost),
         UsageStep::Read => {
             let object = &world.store.state.ledger;
             let ledger = object.value.clone().unwrap_or_default();
@@ -350,27 +353,27 @@
 }
 
 fn write_call(node: &Node, write: Write, tick: u64, world: &mut World) -> InFlight {
-    let lost = match write {
+    let unanswered = match write {
         Write::Lease(_) => InFlight::LeaseLost,
         Write::Ledger(_) => InFlight::LedgerLost,
     };
-    // A write that is conditional on a former era isn't sent.
+    // A write that is conditional on a previous era isn't sent.
     if write.expected().era < node.era {
-        return lost;
+        return unanswered;
     }
-    let is_away = tick < world.away_until;
-    match if world.is_calm { 9 } else { world.random.u32(..10) } {
-        0 => lost,
-        // Nobody knows: it takes effect seconds later, perhaps in another era.
+    let is_store_down = tick < world.down_until;
+    match if world.restores_only { 9 } else { world.random.u32(..10) } {
+        0 => unanswered,
+        // The outcome is unknown: the write takes effect seconds later, perhaps in another era.
         1 => {
             world.late.push((tick + world.random.u64(1..240), write));
-            lost
+            unanswered
         }
-        2 if !is_away => {
+        2 if !is_store_down => {
             world.store.apply(&write);
-            lost
+            unanswered
         }
-        _ if is_away => lost,
+        _ if is_store_down => unanswered,
         _ => {
             let revision = world.store.apply(&write);
             InFlight::Written { revision, answered_in: era(world.store.era), write, sent: node.clock(tick) }
@@ -378,8 +381,8 @@
     }
 }
 
-/// The first two reports of a window that differ, if there are any.
-fn differing(reports: &[UsageReport]) -> Option<String> {
+/// Describes the first window with two different reports, if there is one.
+fn conflicting_reports(reports: &[UsageReport]) -> Option<String> {
     let mut first: BTreeMap<WindowNumber, &UsageReport> = BTreeMap::new();
     for report in reports {
         if *first.entry(report.window).or_insert(report) != report {
@@ -389,8 +392,8 @@
     None
 }
 
-/// What is wrong with the orders of a history, if anything is.
-fn fault(orders: &[Order]) -> Option<String> {
+/// Describes the first violation in the orders of a history, if there is one.
+fn violation(orders: &[Order]) -> Option<String> {
     let mut holders: BTreeMap<Term, &HolderId> = BTreeMap::new();
     let mut highest = Term(0);
     for order in orders {
@@ -403,36 +406,41 @@
         highest = order.term;
     }
     for pair in orders.windows(2).filter(|pair| pair[0].holder != pair[1].holder) {
-        let between = TICK * (pair[1].tick - pair[0].tick) as u32;
+        let elapsed = TICK * (pair[1].tick - pair[0].tick) as u32;
         let is_one_node = pair[0].holder.node == pair[1].holder.node;
         let config = LeaseConfig::default();
-        let least = if is_one_node { config.order_time_limit } else { config.hand_over };
-        if between < least {
-            return Some(format!("two holders ordered {between:?} apart"));
+        let minimum = if is_one_node { config.order_time_limit } else { config.hand_over };
+        if elapsed < minimum {
+            return Some(format!("two holders sent orders {elapsed:?} apart"));
         }
     }
     None
 }
 
 #[test]
-fn over_stores_that_go_back_there_is_one_holder_no_term_comes_twice_and_no_report_differs() {
-    let fault_of = |seed: u64| {
+fn with_restores_each_term_has_one_holder_and_each_window_one_report() {
+    let violation_of = |seed: u64| {
         let world = run(seed, false);
-        fault(&world.orders).or_else(|| differing(&world.reports)).map(|fault| (seed, fault))
+        violation(&world.orders).or_else(|| conflicting_reports(&world.reports)).map(|violation| (seed, violation))
     };
-    let faults: Vec<(u64, String)> = (0..10_000).filter_map(fault_of).collect();
-    assert!(faults.is_empty(), "{} faults, the first of them {:?}", faults.len(), faults.first());
+    let violations: Vec<(u64, String)> = (0..10_000).filter_map(violation_of).collect();
+    assert!(
+        violations.is_empty(),
+        "{} histories violate an invariant, the first is {:?}",
+        violations.len(),
+        violations.first()
+    );
 }
 
 #[test]
-fn over_stores_that_go_back_somebody_orders_in_the_end() {
+fn with_restores_orders_continue() {
     let lasts = (5_000..5_040).map(|seed| run(seed, false).orders.last().map_or(0, |order| order.tick));
     let ordering = lasts.filter(|last| *last > TICKS - 400).count();
-    assert!(ordering >= 36, "in {ordering} of 40 histories somebody orders in the last 20 s");
+    assert!(ordering >= 36, "in {ordering} of 40 histories a node sends orders in the last 20 s");
 }
 
 #[test]
-fn a_holder_that_lives_while_the_store_goes_back_leaves_out_no_window() {
+fn a_holder_that_survives_restores_skips_no_window() {
     for seed in 0..200 {
         let windows: BTreeSet<u64> = run(seed, true).reports.iter().map(|report| report.window.0).collect();
         let (first, last) = (windows.first().expect("a report"), windows.last().expect("a report"));
--- a/crates/core/tests/duties_usage.rs
+++ b/crates/core/tests/duties_usage.rs
@@ -1,4 +1,4 @@
-//! What tenants have used: counted by many, reported once, whatever is lost, late or killed.
+//! Tests of usage reports: many nodes count, and each window gets one report despite lost or late messages and killed nodes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 const CONFIG: UsageConfig = UsageConfig { window_seconds: 5.0, late_seconds: 10.0 };
 
-/// The first window of all histories; its number is that of a day of our time.
+/// The first window of all histories, numbered as in the present day.
 const FIRST: u64 = 350_000_000;
 
 fn address(number: usize) -> Address {
@@ -24,22 +24,26 @@
     Duration::from_secs_f64(FIRST as f64 * CONFIG.window_seconds + seconds)
 }
 
-fn message(sender: usize, life: u64, window: u64, counts: &[(&str, u32)]) -> UsageCountsMessage {
+fn message(sender: usize, incarnation: u64, window: u64, counts: &[(&str, u32)]) -> UsageCountsMessage {
     let counts = counts.iter().map(|(tenant, count)| ((*tenant).into(), *count)).collect();
-    UsageCountsMessage { sender: address(sender), incarnation: life, window: WindowNumber(window), counts }
+    UsageCountsMessage { sender: address(sender), incarnation, window: WindowNumber(window), counts }
 }
 
 #[test]
 fn windows_are_numbered_from_the_start_of_1970() {
     assert_eq!(CONFIG.window_at(Duration::from_secs(1_767_225_600)), WindowNumber(353_445_120));
     assert_eq!(CONFIG.end_of(WindowNumber(1)), Duration::from_secs(10));
-    assert_eq!(CONFIG.last_settled(at(5.0)), Some(WindowNumber(FIRST - 1)), "its own counts are on their way");
+    assert_eq!(
+        CONFIG.last_settled(at(5.0)),
+        Some(WindowNumber(FIRST - 1)),
+        "the counts of the window that has just ended are in flight"
+    );
     assert_eq!(CONFIG.last_settled(at(8.0)), Some(WindowNumber(FIRST)));
     assert_eq!(CONFIG.last_settled(Duration::ZERO), None);
 }
 
 #[test]
-fn settings_that_cannot_be_reckoned_with_are_named() {
+fn settings_out_of_range_are_rejected() {
     for seconds in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e9] {
         assert!(UsageConfig { window_seconds: seconds, ..CONFIG }.validate().is_err());
         assert!(UsageConfig { late_seconds: seconds, ..CONFIG }.validate().is_err());
@@ -48,7 +52,7 @@
 }
 
 #[test]
-fn counts_that_come_twice_late_or_in_another_order_count_once() {
+fn repeated_late_and_reordered_counts_are_applied_once() {
     let messages = [
         message(1, 7, FIRST, &[("press", 2)]),
         message(1, 7, FIRST, &[("press", 5), ("school", 1)]),
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn counts_of_windows_that_are_done_are_not_taken_in() {
+fn counts_of_dropped_windows_are_ignored() {
     let mut table = UsageTable::default();
     table.forget_before(WindowNumber(FIRST + 1));
     assert!(!table.receive(&message(1, 7, FIRST, &[("press", 2)])));
@@ -80,28 +84,32 @@
 }
 
 #[test]
-fn a_candidate_is_told_what_changed_and_the_last_counts_twice_and_a_new_one_all() {
-    let (mut counts, mut telling) = (UsageCounts::default(), UsageAnnouncements::default());
+fn changed_counts_are_sent_final_counts_are_sent_twice_and_a_new_candidate_gets_all() {
+    let (mut counts, mut announcements) = (UsageCounts::default(), UsageAnnouncements::default());
     let window = WindowNumber(FIRST);
     counts.record(window, &"press".into());
-    let due = |telling: &mut UsageAnnouncements, counts: &UsageCounts, candidate, seconds| {
-        telling.due(address(candidate), counts, &CONFIG, at(seconds))
+    let due = |announcements: &mut UsageAnnouncements, counts: &UsageCounts, candidate, seconds| {
+        announcements.due(address(candidate), counts, &CONFIG, at(seconds))
     };
-    assert_eq!(due(&mut telling, &counts, 1, 1.0), [window]);
-    assert_eq!(due(&mut telling, &counts, 1, 2.0), []);
+    assert_eq!(due(&mut announcements, &counts, 1, 1.0), [window]);
+    assert_eq!(due(&mut announcements, &counts, 1, 2.0), []);
     counts.record(window, &"press".into());
-    assert_eq!(due(&mut telling, &counts, 1, 3.0), [window]);
-    assert_eq!(due(&mut telling, &counts, 1, 5.5), [window], "once more after its end");
-    assert_eq!(due(&mut telling, &counts, 1, 6.5), []);
-    assert_eq!(due(&mut telling, &counts, 2, 6.5), [window]);
-    telling.forget(address(1));
-    assert_eq!(due(&mut telling, &counts, 1, 7.0), [window], "it has started anew");
+    assert_eq!(due(&mut announcements, &counts, 1, 3.0), [window]);
+    assert_eq!(
+        due(&mut announcements, &counts, 1, 5.5),
+        [window],
+        "the counts are sent once more after the end of the window"
+    );
+    assert_eq!(due(&mut announcements, &counts, 1, 6.5), []);
+    assert_eq!(due(&mut announcements, &counts, 2, 6.5), [window]);
+    announcements.forget(address(1));
+    assert_eq!(due(&mut announcements, &counts, 1, 7.0), [window], "the candidate has restarted");
     counts.forget_before(CONFIG.first_kept(at(100.0)));
     assert_eq!(counts.windows().count(), 0);
 }
 
 #[test]
-fn a_window_without_requests_is_reported_too_but_none_before_the_first() {
+fn a_window_without_requests_is_reported_but_none_before_the_first() {
     let (mut reports, table) = (UsageReports::default(), UsageTable::default());
     assert_eq!(reports.step(&CONFIG, &table, at(100.0)), UsageStep::Idle);
     let report = UsageReport { window: WindowNumber(FIRST), counts: BTreeMap::new() };
@@ -116,7 +124,7 @@
 }
 
 #[test]
-fn a_report_that_was_refused_is_sent_again_under_the_next_term_though_its_counts_are_forgotten() {
+fn a_refused_report_is_sent_again_under_the_next_term_even_if_its_counts_are_dropped() {
     let mut reports = UsageReports::default();
     let report = UsageReport { window: WindowNumber(FIRST), counts: BTreeMap::new() };
     let ledger = UsageLedger { reports: vec![report.clone()], ..UsageLedger::default() };
@@ -128,7 +136,7 @@
     assert_eq!(reports.step(&CONFIG, &UsageTable::default(), at(12.6)), UsageStep::Send(report));
 }
 
-/// The store's object, with writes whose answers are lost and that may come to pass later.
+/// The ledger object of the store, with writes whose answers are lost and that may take effect later.
 #[derive(Default)]
 struct Store {
     ledger: UsageLedger,
@@ -156,64 +164,65 @@
     }
 }
 
-struct HistoryNode {
-    life: u64,
-    /// What its time of day is off by, in seconds.
-    clock: f64,
+struct SimulatedNode {
+    incarnation: u64,
+    /// The error of the node's time of day, in seconds.
+    clock_error: f64,
     down_until: f64,
     counts: UsageCounts,
-    telling: UsageAnnouncements,
+    announcements: UsageAnnouncements,
     table: UsageTable,
     reports: UsageReports,
 }
 
-impl HistoryNode {
-    /// A node whose time of day is off by a twentieth of a second at most, in calm not at all.
-    fn start(random: &mut fastrand::Rng, trouble: f64) -> Self {
-        HistoryNode {
-            life: random.u64(..),
-            clock: (random.f64() - 0.5) * 0.1 * f64::from(u8::from(trouble > 0.0)),
+impl SimulatedNode {
+    /// A node whose time of day is wrong by a twentieth of a second at most, and exact without faults.
+    fn start(random: &mut fastrand::Rng, fault_rate: f64) -> Self {
+        SimulatedNode {
+            incarnation: random.u64(..),
+            clock_error: (random.f64() - 0.5) * 0.1 * f64::from(u8::from(fault_rate > 0.0)),
             down_until: 0.0,
             counts: UsageCounts::default(),
-            telling: UsageAnnouncements::default(),
+            announcements: UsageAnnouncements::default(),
             table: UsageTable::default(),
             reports: UsageReports::default(),
         }
     }
 
     fn now(&self, seconds: f64) -> Duration {
-        at(seconds + self.clock)
+        at(seconds + self.clock_error)
     }
 }
 
-/// What a history has shown.
+/// The result of a simulated history.
 #[derive(Default)]
 struct Outcome {
-    /// The reports that the receiver got, with the moment.
+    /// The reports that the receiver got, with the time of each.
     received: Vec<(f64, UsageReport)>,
-    truth: BTreeMap<WindowNumber, BTreeMap<TenantName, u64>>,
+    actual: BTreeMap<WindowNumber, BTreeMap<TenantName, u64>>,
 }
 
 const NODES: usize = 5;
 const STEP_SECONDS: f64 = 0.2;
 const LENGTH_SECONDS: f64 = 60.0;
 
-/// Plays nodes that count, of which the first two are candidates. `trouble` is the share of messages, answers and processes
-/// that something happens to.
-fn play(seed: u64, trouble: f64) -> Outcome {
+/// Simulates nodes that count requests; the first two are candidates. `fault_rate` is the share of messages, answers and
+/// processes that suffer a fault.
+fn simulate(seed: u64, fault_rate: f64) -> Outcome {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut nodes: Vec<HistoryNode> = (0..NODES).map(|_| HistoryNode::start(&mut random, trouble)).collect();
+    let mut nodes: Vec<SimulatedNode> = (0..NODES).map(|_| SimulatedNode::start(&mut random, fault_rate)).collect();
     let (mut store, mut outcome) = (Store::default(), Outcome::default());
     let mut now = 0.0;
     while now < LENGTH_SECONDS {
         now += STEP_SECONDS;
         store.apply_late(now);
-        // Calls that the platform carries out late are repeats of what it knows, or of what no one else sends.
+        // Late calls are not simulated: each either repeats a report that the receiver has, or is sent by no other node.
         for number in 0..NODES {
-            if random.f64() < trouble / 60.0 {
-                nodes[number] = HistoryNode { down_until: now + 2.0, ..HistoryNode::start(&mut random, trouble) };
-                let asking = address(number);
-                nodes.iter_mut().for_each(|node| node.telling.forget(asking));
+            if random.f64() < fault_rate / 60.0 {
+                nodes[number] =
+                    SimulatedNode { down_until: now + 2.0, ..SimulatedNode::start(&mut random, fault_rate) };
+                let restarted = address(number);
+                nodes.iter_mut().for_each(|node| node.announcements.forget(restarted));
             }
             if nodes[number].down_until > now {
                 continue;
@@ -222,35 +231,35 @@
                 let tenant = TenantName::new(["press", "school"][random.usize(..2)]);
                 let window = CONFIG.window_at(nodes[number].now(now));
                 nodes[number].counts.record(window, &tenant);
-                let truth = outcome.truth.entry(CONFIG.window_at(at(now))).or_default();
-                *truth.entry(tenant).or_default() += 1;
+                let actual = outcome.actual.entry(CONFIG.window_at(at(now))).or_default();
+                *actual.entry(tenant).or_default() += 1;
             }
-            tell(&mut nodes, number, now, trouble, &mut random);
+            announce(&mut nodes, number, now, fault_rate, &mut random);
         }
-        // Whoever holds the lease acts. Here it changes hands at random, also while a step of the other is under way.
-        let holder = if random.f64() < trouble { random.usize(..2) } else { 0 };
+        // The holder of the lease acts. The holder changes at random here, also while the other node has an open step.
+        let holder = if random.f64() < fault_rate { random.usize(..2) } else { 0 };
         if nodes[holder].down_until <= now {
-            act(&mut nodes[holder], &mut store, &mut outcome, now, trouble, &mut random);
+            act(&mut nodes[holder], &mut store, &mut outcome, now, fault_rate, &mut random);
         }
     }
     outcome
 }
 
-fn tell(nodes: &mut [HistoryNode], number: usize, now: f64, trouble: f64, random: &mut fastrand::Rng) {
+fn announce(nodes: &mut [SimulatedNode], number: usize, now: f64, fault_rate: f64, random: &mut fastrand::Rng) {
     for candidate in 0..2 {
         let node = &mut nodes[number];
-        let due = node.telling.due(address(candidate), &node.counts, &CONFIG, at(now + node.clock));
-        let life = node.life;
+        let due = node.announcements.due(address(candidate), &node.counts, &CONFIG, at(now + node.clock_error));
+        let incarnation = node.incarnation;
         let windows = node.counts.windows().filter(|(window, _)| due.contains(window));
         let of_window = |(window, counts): (WindowNumber, &BTreeMap<TenantName, u32>)| UsageCountsMessage {
             sender: address(number),
-            incarnation: life,
+            incarnation,
             window,
             counts: counts.iter().map(|(tenant, count)| (tenant.clone(), *count)).collect(),
         };
         let messages: Vec<UsageCountsMessage> = windows.map(of_window).collect();
         for message in messages {
-            if random.f64() >= trouble && nodes[candidate].down_until <= now {
+            if random.f64() >= fault_rate && nodes[candidate].down_until <= now {
                 nodes[candidate].table.receive(&message);
             }
         }
@@ -258,11 +267,11 @@
 }
 
 fn act(
-    node: &mut HistoryNode,
+    node: &mut SimulatedNode,
     store: &mut Store,
     outcome: &mut Outcome,
     now: f64,
-    trouble: f64,
+    fault_rate: f64,
     random: &mut fastrand::Rng,
 ) {
     match node.reports.step(&CONFIG, &node.table, node.now(now)) {
@@ -270,8 +279,8 @@
         UsageStep::Read => node
             .reports
             .observe(store.ledger.clone(), ObjectVersion { revision: store.revision, ..ObjectVersion::default() }),
-        UsageStep::Write(write) if random.f64() < trouble => {
-            // No answer: done, not done, or done some seconds later.
+        UsageStep::Write(write) if random.f64() < fault_rate => {
+            // The write has no answer: it takes effect at once, never, or some seconds later.
             match random.u8(..3) {
                 0 => {
                     store.apply(&write);
@@ -288,7 +297,7 @@
         UsageStep::Send(report) => {
             let window = report.window;
             outcome.received.push((now, report));
-            if random.f64() >= trouble {
+            if random.f64() >= fault_rate {
                 node.reports.settle(window);
             }
         }
@@ -299,42 +308,42 @@
 }
 
 #[test]
-fn no_two_reports_of_a_window_differ_whatever_happens() {
+fn no_two_reports_of_a_window_differ_despite_faults() {
     for seed in 1..=300 {
-        let outcome = play(seed, 0.3);
+        let outcome = simulate(seed, 0.3);
         let mut first: BTreeMap<WindowNumber, &UsageReport> = BTreeMap::new();
         for (_, report) in &outcome.received {
             let known = first.entry(report.window).or_insert(report);
             assert_eq!(*known, report, "seed {seed}");
         }
-        assert!(!first.is_empty(), "seed {seed}: something is reported in the end");
+        assert!(!first.is_empty(), "seed {seed}: no window was reported");
     }
 }
 
 #[test]
-fn in_calm_each_window_is_reported_in_time_and_as_it_was() {
+fn without_faults_each_window_is_reported_in_time_with_exact_counts() {
     for seed in 1..=20 {
-        let outcome = play(seed, 0.0);
-        for (window, truth) in outcome.truth.iter().filter(|(window, _)| CONFIG.end_of(**window) < at(50.0)) {
+        let outcome = simulate(seed, 0.0);
+        for (window, actual) in outcome.actual.iter().filter(|(window, _)| CONFIG.end_of(**window) < at(50.0)) {
             let of_window = |(_, report): &&(f64, UsageReport)| report.window == *window;
             let (sent, report) = outcome.received.iter().find(of_window).expect("a report");
             assert!(at(*sent) < CONFIG.end_of(*window) + Duration::from_secs(5));
-            assert_eq!(report.counts, *truth, "seed {seed}");
+            assert_eq!(report.counts, *actual, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn losses_and_restarts_cost_no_more_than_what_the_killed_had_not_told() {
+fn losses_and_restarts_never_count_a_request_twice() {
     for seed in 1..=50 {
-        let outcome = play(seed, 0.1);
-        let in_all = |counts: &BTreeMap<TenantName, u64>| counts.values().sum::<u64>();
-        let told: u64 = {
+        let outcome = simulate(seed, 0.1);
+        let total = |counts: &BTreeMap<TenantName, u64>| counts.values().sum::<u64>();
+        let reported: u64 = {
             let by_window: BTreeMap<WindowNumber, u64> =
-                outcome.received.iter().map(|(_, report)| (report.window, in_all(&report.counts))).collect();
+                outcome.received.iter().map(|(_, report)| (report.window, total(&report.counts))).collect();
             by_window.values().sum()
         };
-        let truth: u64 = outcome.truth.values().map(in_all).sum();
-        assert!(told <= truth, "seed {seed}: nothing is counted twice: {told} of {truth}");
+        let actual: u64 = outcome.actual.values().map(total).sum();
+        assert!(reported <= actual, "seed {seed}: {reported} requests reported, but only {actual} counted");
     }
 }
