--- a/crates/core/src/relay/engine_model.rs
+++ b/crates/core/src/relay/engine_model.rs
@@ -47,7 +47,7 @@
     prefill: QuantileEstimate,
     decode: QuantileEstimate,
     moves: Moves,
-    readings_alone: PrefillTotals,
+    isolated_prefills: PrefillTotals,
 }
 
 impl Default for EngineModel {
@@ -56,7 +56,7 @@
             prefill: QuantileEstimate::new(PREFILL_RATE_PRIOR, RATE_QUANTILE),
             decode: QuantileEstimate::new(DECODE_RATE_PRIOR, RATE_QUANTILE),
             moves: Moves::default(),
-            readings_alone: PrefillTotals::default(),
+            isolated_prefills: PrefillTotals::default(),
         }
     }
 }
@@ -71,7 +71,7 @@
         match stage {
             EngineStage::Prefill => {
                 self.prefill.observe(rate);
-                self.readings_alone.add(tokens, took);
+                self.isolated_prefills.add(tokens, took);
             }
             EngineStage::Decode => self.decode.observe(rate),
         }
@@ -90,8 +90,8 @@
     }
 
     /// What prefill engines have read that had nothing else to read.
-    pub fn readings_alone(&self) -> PrefillTotals {
-        self.readings_alone
+    pub fn isolated_prefills(&self) -> PrefillTotals {
+        self.isolated_prefills
     }
 
     /// The milliseconds in which an engine of `stage` reads `tokens`.
--- a/crates/core/src/stages/changes.rs
+++ b/crates/core/src/stages/changes.rs
@@ -13,12 +13,12 @@
 pub struct ChangesConfig {
     /// The time between the announcement of a change and its order. Every node has heard of it by then and sends nothing
     /// new; what still waits at the engine is refused as not run and sent elsewhere.
-    pub emptying: Duration,
+    pub drain_time: Duration,
     /// The share of a service's engines that may be out of service for a change at once; at least one.
-    pub at_once_share: f64,
+    pub concurrent_share: f64,
     /// The engines of all services together that may be out of service at once: as many as one announcement can name,
     /// with names of 30 bytes.
-    pub at_once_maximum: usize,
+    pub concurrent_maximum: usize,
     /// A change of which no order has left within this time of its announcement, since there was no authority for it or no
     /// way to the engine, is called off: nothing is sent to the engine meanwhile.
     pub call_off: Duration,
@@ -35,10 +35,10 @@
 impl Default for ChangesConfig {
     fn default() -> Self {
         ChangesConfig {
-            emptying: Duration::from_millis(400),
+            drain_time: Duration::from_millis(400),
             call_off: Duration::from_secs(3),
-            at_once_share: 0.2,
-            at_once_maximum: 32,
+            concurrent_share: 0.2,
+            concurrent_maximum: 32,
             retry_pause: Duration::from_millis(1_500),
             give_up: Duration::from_secs(20),
             ordered_ends: OrderedEndsConfig::default(),
@@ -220,8 +220,8 @@
             return Vec::new();
         }
         let open = self.open.values().filter(|change| change.service == *service).count();
-        let at_once = ((engines.len() as f64 * self.config.at_once_share) as usize).max(1);
-        let free = at_once.saturating_sub(open).min(self.config.at_once_maximum.saturating_sub(self.open.len()));
+        let at_once = ((engines.len() as f64 * self.config.concurrent_share) as usize).max(1);
+        let free = at_once.saturating_sub(open).min(self.config.concurrent_maximum.saturating_sub(self.open.len()));
         let mut begun = Vec::new();
         for _ in 0..missing.min(free) {
             let Some(engine) = self.next_to_change(engines, to) else {
@@ -319,7 +319,7 @@
     /// The orders that are due.
     pub fn due(&self, now: Timestamp) -> Vec<StageOrder> {
         let is_due = |change: &&StageChange| match change.state {
-            ChangeState::Emptying => now.since(change.began) >= self.config.emptying,
+            ChangeState::Emptying => now.since(change.began) >= self.config.drain_time,
             ChangeState::Open { since } => now.since(since) >= self.config.retry_pause,
             ChangeState::Ordered | ChangeState::Accepted => false,
         };
--- a/crates/core/src/stages/demand.rs
+++ b/crates/core/src/stages/demand.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ServiceDemand {
     /// Tokens of prompts that had to be read, beyond those that the engine kept.
-    pub read_tokens: u64,
+    pub prefill_tokens: u64,
     /// The time that answers took to be generated, in milliseconds, added up over all of them.
     pub answer_millis: u64,
 }
@@ -26,13 +26,13 @@
 impl ServiceDemand {
     fn since(self, earlier: ServiceDemand) -> Option<ServiceDemand> {
         Some(ServiceDemand {
-            read_tokens: self.read_tokens.checked_sub(earlier.read_tokens)?,
+            prefill_tokens: self.prefill_tokens.checked_sub(earlier.prefill_tokens)?,
             answer_millis: self.answer_millis.checked_sub(earlier.answer_millis)?,
         })
     }
 
     fn add(&mut self, other: ServiceDemand) {
-        self.read_tokens = self.read_tokens.saturating_add(other.read_tokens);
+        self.prefill_tokens = self.prefill_tokens.saturating_add(other.prefill_tokens);
         self.answer_millis = self.answer_millis.saturating_add(other.answer_millis);
     }
 }
@@ -46,12 +46,12 @@
 impl DemandCounters {
     /// Counts a prompt of which `unread` tokens have to be read.
     pub fn record_prompt(&mut self, service: &ServiceName, unread: u32) {
-        self.add(service, ServiceDemand { read_tokens: u64::from(unread), answer_millis: 0 });
+        self.add(service, ServiceDemand { prefill_tokens: u64::from(unread), answer_millis: 0 });
     }
 
     /// Counts an answer that was generated in `took`.
     pub fn record_answer(&mut self, service: &ServiceName, took: Duration) {
-        self.add(service, ServiceDemand { read_tokens: 0, answer_millis: whole_millis(took) });
+        self.add(service, ServiceDemand { prefill_tokens: 0, answer_millis: whole_millis(took) });
     }
 
     /// The counts by service.
@@ -70,11 +70,11 @@
     /// The sender's address for its peers; names the node.
     pub sender: Address,
     /// Tells the lives of the sender's process apart.
-    pub life: u64,
-    /// What it has counted in this life.
+    pub incarnation: u64,
+    /// What it has counted in this incarnation.
     pub services: Vec<(ServiceName, ServiceDemand)>,
     /// What it has seen prefill engines read that had nothing else to read.
-    pub readings_alone: PrefillTotals,
+    pub isolated_prefills: PrefillTotals,
 }
 
 /// Limits of a [`DemandTable`].
@@ -95,11 +95,11 @@
 
 #[derive(Clone, Debug)]
 struct Reporter {
-    life: u64,
-    /// The life before, of which a report may still be on its way.
-    former_life: Option<u64>,
+    incarnation: u64,
+    /// The incarnation before, of which a report may still be on its way.
+    previous_incarnation: Option<u64>,
     services: BTreeMap<ServiceName, ServiceDemand>,
-    readings_alone: PrefillTotals,
+    isolated_prefills: PrefillTotals,
     heard_at: Timestamp,
 }
 
@@ -139,15 +139,16 @@
     pub fn receive(&mut self, report: DemandReport, now: Timestamp) -> bool {
         let services: BTreeMap<ServiceName, ServiceDemand> = report.services.into_iter().collect();
         let known = self.reporters.get(&report.sender);
-        if known.is_some_and(|known| known.former_life == Some(report.life)) {
+        if known.is_some_and(|known| known.previous_incarnation == Some(report.incarnation)) {
             return false;
         }
-        let former_life =
-            known.and_then(|known| if known.life == report.life { known.former_life } else { Some(known.life) });
+        let previous_incarnation = known.and_then(|known| {
+            if known.incarnation == report.incarnation { known.previous_incarnation } else { Some(known.incarnation) }
+        });
         let added = match known {
             // What it has counted before it was first heard of is no demand of now.
             None => Some(Vec::new()),
-            Some(known) if known.life != report.life => Some(services.clone().into_iter().collect()),
+            Some(known) if known.incarnation != report.incarnation => Some(services.clone().into_iter().collect()),
             Some(known) => differences(&known.services, &services),
         };
         let Some(added) = added else {
@@ -159,8 +160,8 @@
             }
             self.current.entry(service).or_default().add(demand);
         }
-        let DemandReport { life, readings_alone, .. } = report;
-        let reporter = Reporter { life, former_life, services, readings_alone, heard_at: now };
+        let DemandReport { incarnation, isolated_prefills, .. } = report;
+        let reporter = Reporter { incarnation, previous_incarnation, services, isolated_prefills, heard_at: now };
         self.reporters.insert(report.sender, reporter);
         true
     }
@@ -178,7 +179,7 @@
         // A service that nobody asked for in this span has no load, which is news as well.
         for (service, demand) in &mut self.current {
             let load = ServiceLoad {
-                reading: demand.read_tokens as f64 / seconds / (rate * 1e3),
+                reading: demand.prefill_tokens as f64 / seconds / (rate * 1e3),
                 answering: demand.answer_millis as f64 / 1e3 / seconds,
             };
             self.ended.push_back((service.clone(), load));
@@ -209,7 +210,7 @@
 
     /// The tokens that a prefill engine reads in a millisecond, by what all nodes have seen.
     pub fn reading_rate(&self) -> f64 {
-        let totals = self.reporters.values().map(|reporter| reporter.readings_alone);
+        let totals = self.reporters.values().map(|reporter| reporter.isolated_prefills);
         let seen = totals
             .fold((0.0, 0.0), |seen, totals| (seen.0 + totals.tokens as f64, seen.1 + totals.micros as f64 / 1e3));
         // The prior fades: it weighs as much as a few prompts.
--- a/crates/core/tests/back_end_lives.rs
+++ b/crates/core/tests/back_end_lives.rs
@@ -211,7 +211,7 @@
     assert_eq!(begun[0].engine, life(200).id);
     changes.answered(&life(100).id, OrderAnswer::Accepted, later);
     assert_eq!(
-        changes.due(later + ChangesConfig::default().emptying).len(),
+        changes.due(later + ChangesConfig::default().drain_time).len(),
         1,
         "the late answer was the former life's"
     );
--- a/crates/core/tests/stages_changes.rs
+++ b/crates/core/tests/stages_changes.rs
@@ -33,7 +33,7 @@
 }
 
 fn emptied() -> Timestamp {
-    START + ChangesConfig::default().emptying
+    START + ChangesConfig::default().drain_time
 }
 
 #[test]
@@ -216,7 +216,7 @@
 #[test]
 fn no_more_engines_change_at_once_than_all_nodes_can_be_told_of_however_large_the_fleet() {
     let mut changes = changes();
-    let most = ChangesConfig::default().at_once_maximum;
+    let most = ChangesConfig::default().concurrent_maximum;
     let engines = engines(4_100, 1_400);
     assert_eq!(changes.plan(&service(), &engines, 2_600, START).len(), most);
     let other = ServiceName::new("another model");
@@ -280,7 +280,7 @@
             changes
                 .observe(|engine| Some(&fleet[engine]).filter(|engine| engine.alive).map(|engine| engine.stage), now);
             changes.plan(&service(), &shown, wanted.min(shown.len()), now);
-            let at_once = ((shown.len() as f64 * ChangesConfig::default().at_once_share) as usize).max(1);
+            let at_once = ((shown.len() as f64 * ChangesConfig::default().concurrent_share) as usize).max(1);
             let open = changes.open().count();
             // Engines that died since changes began may leave more open than may begin now.
             assert!(open <= at_once.max(3), "seed {seed}: {open} at once");
--- a/crates/core/tests/stages_demand.rs
+++ b/crates/core/tests/stages_demand.rs
@@ -18,12 +18,12 @@
     ServiceName::new("model")
 }
 
-fn report(node: u8, life: u64, counters: &DemandCounters) -> DemandReport {
+fn report(node: u8, incarnation: u64, counters: &DemandCounters) -> DemandReport {
     DemandReport {
         sender: address(node),
-        life,
+        incarnation,
         services: counters.services(),
-        readings_alone: PrefillTotals::default(),
+        isolated_prefills: PrefillTotals::default(),
     }
 }
 
@@ -141,9 +141,9 @@
 fn what_all_nodes_have_seen_tells_the_rate_though_each_has_seen_little() {
     let mut table = table();
     for node in 1..=60 {
-        let readings_alone = PrefillTotals { tokens: 12_000, micros: 200_000 };
+        let isolated_prefills = PrefillTotals { tokens: 12_000, micros: 200_000 };
         let counters = DemandCounters::default();
-        table.receive(DemandReport { readings_alone, ..report(node, 1, &counters) }, START);
+        table.receive(DemandReport { isolated_prefills, ..report(node, 1, &counters) }, START);
     }
     assert!((table.reading_rate() - 60.0).abs() < 2.0, "{}", table.reading_rate());
 }
--- a/crates/relay/src/callers/reading_step.rs
+++ b/crates/relay/src/callers/reading_step.rs
@@ -39,7 +39,7 @@
             let reading = self.traffic.readings.begin(&back_end, &prompt, self.request.urgency);
             let plan = self.read_at(back_end).await;
             reading.end(plan.is_some());
-            self.traffic.demand.set_readings_alone(self.traffic.readings.model().readings_alone());
+            self.traffic.demand.set_isolated_prefills(self.traffic.readings.model().isolated_prefills());
             if let Some(plan) = plan {
                 self.note_prompt_read();
                 return plan;
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 struct OwnDemand {
     counters: DemandCounters,
-    readings_alone: PrefillTotals,
+    isolated_prefills: PrefillTotals,
 }
 
 /// This node's own demand. Copies share it; neither thread holds it for longer than it takes to add or copy numbers.
@@ -31,14 +31,19 @@
     }
 
     /// Sets what was seen of engines that had nothing else to read.
-    pub fn set_readings_alone(&self, totals: PrefillTotals) {
-        self.lock().readings_alone = totals;
+    pub fn set_isolated_prefills(&self, totals: PrefillTotals) {
+        self.lock().isolated_prefills = totals;
     }
 
     /// What the nodes that decide on stages are told.
-    pub fn report(&self, sender: Address, life: u64) -> DemandReport {
+    pub fn report(&self, sender: Address, incarnation: u64) -> DemandReport {
         let own = self.lock();
-        DemandReport { sender, life, services: own.counters.services(), readings_alone: own.readings_alone }
+        DemandReport {
+            sender,
+            incarnation,
+            services: own.counters.services(),
+            isolated_prefills: own.isolated_prefills,
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, OwnDemand> {
--- a/crates/relay/tests/announcement.rs
+++ b/crates/relay/tests/announcement.rs
@@ -11,7 +11,7 @@
 #[test]
 fn all_engines_that_may_change_at_once_fit_one_announcement() {
     let name = |number: usize| BackEndId::new(format!("{number:030}"));
-    let engines = (0..ChangesConfig::default().at_once_maximum).map(|number| (name(number), EngineStage::Prefill));
+    let engines = (0..ChangesConfig::default().concurrent_maximum).map(|number| (name(number), EngineStage::Prefill));
     let sender = Address(std::net::SocketAddr::from(([10, 0, 0, 1], 8_000)));
     let notice = StageNotice { sender, term: Term(u64::MAX), engines: engines.collect() };
     let bytes = encode(&PeerMessage::Stages(notice)).expect("the message can be encoded");
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -137,9 +137,9 @@
 fn demand() -> DemandReport {
     DemandReport {
         sender: address(1),
-        life: 42,
-        services: vec![(ServiceName::new("model"), ServiceDemand { read_tokens: 70_000, answer_millis: 3_100 })],
-        readings_alone: PrefillTotals { tokens: 17_000, micros: 250_000 },
+        incarnation: 42,
+        services: vec![(ServiceName::new("model"), ServiceDemand { prefill_tokens: 70_000, answer_millis: 3_100 })],
+        isolated_prefills: PrefillTotals { tokens: 17_000, micros: 250_000 },
     }
 }
 
