--- a/crates/core/src/stages/changes.rs
+++ b/crates/core/src/stages/changes.rs
@@ -1,9 +1,9 @@
-//! Engines that change their stage: announced, emptied, ordered, and seen to have changed.
+//! Stage changes of engines: announced, drained, ordered, and confirmed by the directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::ordered_ends::{OrderedEnds, OrderedEndsConfig};
+use super::order_circuit_breaker::{OrderCircuitBreaker, OrderCircuitBreakerConfig};
 use crate::back_ends::EngineStage;
 use crate::time::Timestamp;
 use crate::world::{BackEndId, ServiceName, ZoneName};
@@ -11,43 +11,43 @@
 /// Limits of [`StageChanges`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangesConfig {
-    /// The time between the announcement of a change and its order. Every node has heard of it by then and sends nothing
-    /// new; what still waits at the engine is refused as not run and sent elsewhere.
+    /// Time between the announcement of a change and its order. By then every node has received the announcement and
+    /// sends no new requests; requests still queued at the engine are refused as not run and sent elsewhere.
     pub drain_time: Duration,
-    /// The share of a service's engines that may be out of service for a change at once; at least one.
+    /// Share of a service's engines that may be out of service for a change at the same time; at least one engine.
     pub concurrent_share: f64,
-    /// The engines of all services together that may be out of service at once: as many as one announcement can name,
-    /// with names of 30 bytes.
+    /// Maximum number of engines of all services together that may be out of service at the same time: as many as one
+    /// announcement can list with names of 30 bytes.
     pub concurrent_maximum: usize,
-    /// A change of which no order has left within this time of its announcement, since there was no authority for it or no
-    /// way to the engine, is called off: nothing is sent to the engine meanwhile.
-    pub call_off: Duration,
-    /// An order that was not taken, or whose fate is not known, is looked into again after this time.
+    /// A change is cancelled if no order was sent within this time of its announcement, because this node had no
+    /// authority for it or could not reach the engine. Until then the engine receives no requests.
+    pub cancel_after: Duration,
+    /// Time after which an order that was not accepted, or whose outcome is unknown, is retried.
     pub retry_pause: Duration,
-    /// A change that is not seen to be done after this time is given up. Longer than an order may be late.
-    pub give_up: Duration,
-    /// When changes stop since engines end by their orders.
-    pub ordered_ends: OrderedEndsConfig,
-    /// An engine whose change was given up, or to which there was no way, is left alone for this time.
-    pub rest: Duration,
+    /// A change that is not confirmed within this time is given up. Longer than an order may be delayed.
+    pub give_up_after: Duration,
+    /// When changes are paused because orders terminate their engines.
+    pub circuit_breaker: OrderCircuitBreakerConfig,
+    /// Time for which an engine is not selected again after its change was given up or it could not be reached.
+    pub backoff: Duration,
 }
 
 impl Default for ChangesConfig {
     fn default() -> Self {
         ChangesConfig {
             drain_time: Duration::from_millis(400),
-            call_off: Duration::from_secs(3),
+            cancel_after: Duration::from_secs(3),
             concurrent_share: 0.2,
             concurrent_maximum: 32,
             retry_pause: Duration::from_millis(1_500),
-            give_up: Duration::from_secs(20),
-            ordered_ends: OrderedEndsConfig::default(),
-            rest: Duration::from_secs(20),
+            give_up_after: Duration::from_secs(20),
+            circuit_breaker: OrderCircuitBreakerConfig::default(),
+            backoff: Duration::from_secs(20),
         }
     }
 }
 
-/// An engine as the directory shows it.
+/// An engine as listed in the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StagedEngine {
     /// The engine.
@@ -58,29 +58,29 @@
     pub stage: EngineStage,
 }
 
-/// How an engine answered an order.
+/// Result of an order to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It does what it was told.
+    /// The engine carries out the order.
     Accepted,
-    /// It is so already.
+    /// The engine already serves the ordered stage.
     Holds,
-    /// Another order is under way, or it has taken one that the sender did not know of.
+    /// Another order is in progress, or the engine has accepted one that the sender did not know of.
     Busy,
-    /// It has seen a higher term.
+    /// The engine has seen a higher term.
     Fenced,
-    /// It is not the engine that was meant.
+    /// The order reached a different engine than the addressed one.
     AnotherEngine,
-    /// It knows no such order.
+    /// The engine does not support the order.
     NotUnderstood,
-    /// The order did not leave this node.
+    /// The order was not sent.
     NotSent,
-    /// There was no answer: it may come to pass, now or later.
+    /// No answer was received: the order may take effect now or later.
     Unknown,
 }
 
 impl OrderAnswer {
-    /// The word in logs and metrics.
+    /// Name used in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             OrderAnswer::Accepted => "accepted",
@@ -100,40 +100,40 @@
 pub struct StageOrder {
     /// The engine.
     pub engine: BackEndId,
-    /// The stage that it is to serve.
+    /// The stage to change to.
     pub to: EngineStage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChangeState {
-    /// Announced; nothing was ordered yet.
-    Emptying,
-    /// The order is about to leave, or on its way.
+    /// Announced; no order was sent yet.
+    Draining,
+    /// The order is about to be sent, or in flight.
     Ordered,
-    /// The order did not leave, was not taken, or nobody knows.
-    Open { since: Timestamp },
+    /// The order was not sent, was not accepted, or its outcome is unknown.
+    Unresolved { since: Timestamp },
     /// The engine is changing.
     Accepted,
 }
 
-/// An engine that changes its stage.
+/// A stage change of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageChange {
     /// The engine.
     pub engine: BackEndId,
-    /// The service that it belongs to.
+    /// The engine's service.
     pub service: ServiceName,
-    /// The stage that it is to serve.
+    /// The stage to change to.
     pub to: EngineStage,
-    /// When it was announced.
+    /// When the change was announced.
     pub began: Timestamp,
     state: ChangeState,
-    /// Whether an order has left: then only the same one may follow.
+    /// Whether an order was sent; only the same order may follow it.
     ordered: bool,
 }
 
 impl StageChange {
-    /// Whether an order may have reached the engine, or may do so any moment.
+    /// Whether an order may have reached the engine, or may still reach it.
     fn may_have_been_ordered(&self) -> bool {
         self.ordered || self.state == ChangeState::Ordered
     }
@@ -146,54 +146,55 @@
     Done,
     /// The engine is gone.
     EngineGone,
-    /// It was given up.
+    /// The change was given up.
     GivenUp,
-    /// It was called off before anything was ordered.
-    CalledOff,
+    /// The change was cancelled before an order was sent.
+    Cancelled,
 }
 
 impl ChangeEnd {
-    /// The word in logs and metrics.
+    /// Name used in logs and metrics.
     pub fn code(&self) -> &'static str {
         match self {
             ChangeEnd::Done => "done",
             ChangeEnd::EngineGone => "engine_gone",
             ChangeEnd::GivenUp => "given_up",
-            ChangeEnd::CalledOff => "called_off",
+            ChangeEnd::Cancelled => "called_off",
         }
     }
 }
 
-/// The engines that change now.
+/// The stage changes in progress.
 ///
-/// Invariants: an engine is in one change at most; once an order may have reached it, that change is never turned into
-/// another one, it ends only by being seen to be done, by the engine's end, or after [`ChangesConfig::give_up`].
+/// Invariants: an engine has at most one change. Once an order may have reached the engine, the change is never
+/// replaced by another one; it ends only when the directory confirms it, when the engine is gone, or after
+/// [`ChangesConfig::give_up_after`].
 #[derive(Clone, Debug)]
 pub struct StageChanges {
     config: ChangesConfig,
     open: BTreeMap<BackEndId, StageChange>,
-    resting: BTreeMap<BackEndId, Timestamp>,
-    ordered_ends: OrderedEnds,
+    backoff_until: BTreeMap<BackEndId, Timestamp>,
+    circuit_breaker: OrderCircuitBreaker,
 }
 
 impl StageChanges {
-    /// No engine changes.
+    /// Creates an empty set of changes.
     pub fn new(config: ChangesConfig) -> Self {
-        let ordered_ends = OrderedEnds::new(config.ordered_ends);
-        StageChanges { config, open: BTreeMap::new(), resting: BTreeMap::new(), ordered_ends }
+        let circuit_breaker = OrderCircuitBreaker::new(config.circuit_breaker);
+        StageChanges { config, open: BTreeMap::new(), backoff_until: BTreeMap::new(), circuit_breaker }
     }
 
-    /// The changes that are open.
+    /// The changes in progress.
     pub fn open(&self) -> impl Iterator<Item = &StageChange> {
         self.open.values()
     }
 
-    /// Whether no engine changes.
+    /// Whether no change is in progress.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// The prefill engines that there will be when all open changes of `service` are done.
+    /// Number of prefill engines once all open changes of `service` are done.
     pub fn prefill_after(&self, service: &ServiceName, engines: &[StagedEngine]) -> usize {
         let after = engines.iter().map(|engine| match self.open.get(&engine.id) {
             Some(change) if change.service == *service => change.to,
@@ -202,8 +203,9 @@
         after.filter(|stage| *stage == EngineStage::Prefill).count()
     }
 
-    /// Begins the changes that lead from `engines`, the usable ones of `service`, to `prefill` prefill engines, so many at
-    /// once as the limits allow. Changes the other way that nothing was ordered for are called off. Returns what began.
+    /// Starts changes towards `prefill` prefill engines among `engines`, the usable engines of `service`, as many as
+    /// the limits allow. Changes in the opposite direction that were not ordered yet are cancelled. Returns the started
+    /// changes.
     pub fn plan(
         &mut self,
         service: &ServiceName,
@@ -211,19 +213,20 @@
         prefill: usize,
         now: Timestamp,
     ) -> Vec<StageOrder> {
-        self.resting.retain(|_, until| *until > now);
+        self.backoff_until.retain(|_, until| *until > now);
         let after = self.prefill_after(service, engines);
         let to = if prefill > after { EngineStage::Prefill } else { EngineStage::Decode };
-        let mut missing = prefill.abs_diff(after);
-        missing -= self.call_off(service, to, missing);
-        if !self.ordered_ends.pause(service, now).is_zero() {
+        let mut remaining = prefill.abs_diff(after);
+        remaining -= self.cancel(service, to, remaining);
+        if !self.circuit_breaker.pause(service, now).is_zero() {
             return Vec::new();
         }
         let open = self.open.values().filter(|change| change.service == *service).count();
-        let at_once = ((engines.len() as f64 * self.config.concurrent_share) as usize).max(1);
-        let free = at_once.saturating_sub(open).min(self.config.concurrent_maximum.saturating_sub(self.open.len()));
+        let concurrent_limit = ((engines.len() as f64 * self.config.concurrent_share) as usize).max(1);
+        let available =
+            concurrent_limit.saturating_sub(open).min(self.config.concurrent_maximum.saturating_sub(self.open.len()));
         let mut begun = Vec::new();
-        for _ in 0..missing.min(free) {
+        for _ in 0..remaining.min(available) {
             let Some(engine) = self.next_to_change(engines, to) else {
                 break;
             };
@@ -232,7 +235,7 @@
                 service: service.clone(),
                 to,
                 began: now,
-                state: ChangeState::Emptying,
+                state: ChangeState::Draining,
                 ordered: false,
             };
             self.open.insert(engine.clone(), change);
@@ -241,33 +244,33 @@
         begun
     }
 
-    /// Calls off up to `most` changes of `service` that lead away from `to` and for which nothing was ordered.
-    fn call_off(&mut self, service: &ServiceName, to: EngineStage, most: usize) -> usize {
-        let against =
+    /// Cancels up to `limit` changes of `service` away from `to` that were not ordered yet; returns their number.
+    fn cancel(&mut self, service: &ServiceName, to: EngineStage, limit: usize) -> usize {
+        let is_opposing =
             |change: &&StageChange| change.service == *service && change.to != to && !change.may_have_been_ordered();
         let engines: Vec<BackEndId> =
-            self.open.values().filter(against).take(most).map(|change| change.engine.clone()).collect();
+            self.open.values().filter(is_opposing).take(limit).map(|change| change.engine.clone()).collect();
         for engine in &engines {
             self.open.remove(engine);
         }
         engines.len()
     }
 
-    /// The engine that changes next: of the zone that keeps most engines of the stage that is given up, so that no zone
-    /// loses all of them.
+    /// Selects the next engine to change, from the zone with the most eligible engines of the other stage, so that no
+    /// zone loses all of them.
     fn next_to_change(&self, engines: &[StagedEngine], to: EngineStage) -> Option<BackEndId> {
-        let may = |engine: &&StagedEngine| {
-            engine.stage != to && !self.open.contains_key(&engine.id) && !self.resting.contains_key(&engine.id)
+        let is_eligible = |engine: &&StagedEngine| {
+            engine.stage != to && !self.open.contains_key(&engine.id) && !self.backoff_until.contains_key(&engine.id)
         };
         let mut by_zone: BTreeMap<&ZoneName, Vec<&BackEndId>> = BTreeMap::new();
-        for engine in engines.iter().filter(may) {
+        for engine in engines.iter().filter(is_eligible) {
             by_zone.entry(&engine.zone).or_default().push(&engine.id);
         }
-        let fullest = by_zone.into_values().max_by_key(Vec::len)?;
-        fullest.into_iter().min().cloned()
+        let largest = by_zone.into_values().max_by_key(Vec::len)?;
+        largest.into_iter().min().cloned()
     }
 
-    /// Takes in what the directory shows: `stage_of` tells the stage of an engine, `None` when it is gone. Returns the
+    /// Applies the state of the directory: `stage_of` returns the stage of an engine, `None` if it is gone. Returns the
     /// changes that have ended.
     pub fn observe(
         &mut self,
@@ -279,62 +282,63 @@
             let end = match stage_of(&change.engine) {
                 None => Some(ChangeEnd::EngineGone),
                 Some(stage) if stage == change.to => Some(ChangeEnd::Done),
-                Some(_) if !change.may_have_been_ordered() && now.since(change.began) >= self.config.call_off => {
-                    Some(ChangeEnd::CalledOff)
+                Some(_) if !change.may_have_been_ordered() && now.since(change.began) >= self.config.cancel_after => {
+                    Some(ChangeEnd::Cancelled)
                 }
-                Some(_) if now.since(change.began) >= self.config.give_up => Some(ChangeEnd::GivenUp),
+                Some(_) if now.since(change.began) >= self.config.give_up_after => Some(ChangeEnd::GivenUp),
                 Some(_) => None,
             };
             ended.extend(end.map(|end| (change.clone(), end)));
         }
-        self.note_ordered_ends(&ended, now);
+        self.record_ended(&ended, now);
         for (change, end) in &ended {
             self.open.remove(&change.engine);
-            let tried_in_vain = matches!(change.state, ChangeState::Open { .. });
-            if *end == ChangeEnd::GivenUp || (*end == ChangeEnd::CalledOff && tried_in_vain) {
-                self.resting.insert(change.engine.clone(), now + self.config.rest);
+            let was_attempted = matches!(change.state, ChangeState::Unresolved { .. });
+            if *end == ChangeEnd::GivenUp || (*end == ChangeEnd::Cancelled && was_attempted) {
+                self.backoff_until.insert(change.engine.clone(), now + self.config.backoff);
             }
         }
         ended
     }
 
-    fn note_ordered_ends(&mut self, ended: &[(StageChange, ChangeEnd)], now: Timestamp) {
+    fn record_ended(&mut self, ended: &[(StageChange, ChangeEnd)], now: Timestamp) {
         let services = |which: ChangeEnd| {
             let ordered = ended.iter().filter(move |(change, end)| *end == which && change.may_have_been_ordered());
             ordered.map(|(change, _)| change.service.clone()).collect::<BTreeSet<ServiceName>>()
         };
         for service in services(ChangeEnd::EngineGone) {
-            self.ordered_ends.note_gone(&service, now);
+            self.circuit_breaker.record_termination(&service, now);
         }
         for service in services(ChangeEnd::Done) {
-            self.ordered_ends.note_done(&service);
+            self.circuit_breaker.record_success(&service);
         }
     }
 
-    /// For how long no change of `service` begins, since engines ended by their orders; zero when one may.
+    /// Remaining time for which no change of `service` may start because orders terminated their engines; zero if one
+    /// may.
     pub fn pause(&self, service: &ServiceName, now: Timestamp) -> Duration {
-        self.ordered_ends.pause(service, now)
+        self.circuit_breaker.pause(service, now)
     }
 
     /// The orders that are due.
     pub fn due(&self, now: Timestamp) -> Vec<StageOrder> {
         let is_due = |change: &&StageChange| match change.state {
-            ChangeState::Emptying => now.since(change.began) >= self.config.drain_time,
-            ChangeState::Open { since } => now.since(since) >= self.config.retry_pause,
+            ChangeState::Draining => now.since(change.began) >= self.config.drain_time,
+            ChangeState::Unresolved { since } => now.since(since) >= self.config.retry_pause,
             ChangeState::Ordered | ChangeState::Accepted => false,
         };
         let due = self.open.values().filter(is_due);
         due.map(|change| StageOrder { engine: change.engine.clone(), to: change.to }).collect()
     }
 
-    /// Notes that the order to `engine` is about to be sent. Until the answer says otherwise it may come to pass.
+    /// Records that the order to `engine` is about to be sent. Unless the answer says otherwise, it may take effect.
     pub fn ordered(&mut self, engine: &BackEndId) {
         if let Some(change) = self.open.get_mut(engine) {
             change.state = ChangeState::Ordered;
         }
     }
 
-    /// Takes in how `engine` answered, or that the order was put off before it was sent ([`OrderAnswer::NotSent`]).
+    /// Applies the answer of `engine`, or that the order was postponed before it was sent ([`OrderAnswer::NotSent`]).
     pub fn answered(&mut self, engine: &BackEndId, answer: OrderAnswer, now: Timestamp) {
         let Some(change) = self.open.get_mut(engine) else {
             return;
@@ -343,17 +347,17 @@
         match answer {
             OrderAnswer::Accepted | OrderAnswer::Holds => change.state = ChangeState::Accepted,
             OrderAnswer::Busy | OrderAnswer::Fenced | OrderAnswer::NotSent | OrderAnswer::Unknown => {
-                change.state = ChangeState::Open { since: now };
+                change.state = ChangeState::Unresolved { since: now };
             }
             OrderAnswer::AnotherEngine | OrderAnswer::NotUnderstood => {
                 self.open.remove(engine);
-                self.resting.insert(engine.clone(), now + self.config.rest);
+                self.backoff_until.insert(engine.clone(), now + self.config.backoff);
             }
         }
     }
 
-    /// Forgets all changes: another node decides from now on, or nothing may be ordered any more. What was ordered still
-    /// comes to pass, which the directory shows.
+    /// Drops all changes and returns their number: another node decides from now on, or orders are no longer allowed.
+    /// Orders that were sent still take effect, which the directory shows.
     pub fn hand_over(&mut self) -> usize {
         let open = self.open.len();
         self.open.clear();
--- a/crates/core/src/stages/demand.rs
+++ b/crates/core/src/stages/demand.rs
@@ -1,8 +1,8 @@
-//! What all nodes ask of the engines of a service, summed up at the node that decides.
+//! Demand of all nodes on the engines of a service, aggregated at the node that decides on stages.
 //!
-//! Each node counts its own requests from its start on and sends the counts, not what was added: a report that is lost
-//! costs nothing but time, one that comes twice or late adds nothing, and no request is counted twice. The bytes don't
-//! depend on the number of requests, and each node sends to [`crate::duties::CANDIDATES`] receivers only.
+//! Each node counts its own requests from its start and sends cumulative counts instead of increments: a lost report
+//! only delays the counts, a duplicate or late one adds nothing, and no request is counted twice. The size of a report
+//! does not depend on the number of requests, and each node sends to [`crate::duties::CANDIDATES`] receivers only.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use crate::time::{Timestamp, whole_millis};
 use crate::world::{Address, ServiceName};
 
-/// What a node's callers have asked of a service since the node's start.
+/// Cumulative demand of a node's callers on a service since the node's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ServiceDemand {
-    /// Tokens of prompts that had to be read, beyond those that the engine kept.
+    /// Prompt tokens that needed prefill, without those that the engine had cached.
     pub prefill_tokens: u64,
-    /// The time that answers took to be generated, in milliseconds, added up over all of them.
+    /// Total generation time of all answers, in milliseconds.
     pub answer_millis: u64,
 }
 
@@ -37,16 +37,16 @@
     }
 }
 
-/// A node's own counts, by service.
+/// A node's own counts by service.
 #[derive(Clone, Debug, Default)]
 pub struct DemandCounters {
     services: BTreeMap<ServiceName, ServiceDemand>,
 }
 
 impl DemandCounters {
-    /// Counts a prompt of which `unread` tokens have to be read.
-    pub fn record_prompt(&mut self, service: &ServiceName, unread: u32) {
-        self.add(service, ServiceDemand { prefill_tokens: u64::from(unread), answer_millis: 0 });
+    /// Counts a prompt of which `uncached` tokens need prefill.
+    pub fn record_prompt(&mut self, service: &ServiceName, uncached: u32) {
+        self.add(service, ServiceDemand { prefill_tokens: u64::from(uncached), answer_millis: 0 });
     }
 
     /// Counts an answer that was generated in `took`.
@@ -64,66 +64,66 @@
     }
 }
 
-/// What a node tells the ones that decide on stages.
+/// Report of a node to the candidates that decide on stages.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct DemandReport {
-    /// The sender's address for its peers; names the node.
+    /// The sender's peer address, which identifies the node.
     pub sender: Address,
-    /// Tells the lives of the sender's process apart.
+    /// Distinguishes incarnations of the sender's process.
     pub incarnation: u64,
-    /// What it has counted in this incarnation.
+    /// Cumulative counts of this incarnation.
     pub services: Vec<(ServiceName, ServiceDemand)>,
-    /// What it has seen prefill engines read that had nothing else to read.
+    /// Totals of the observed prefills that ran without other prefills on their engine.
     pub isolated_prefills: PrefillTotals,
 }
 
 /// Limits of a [`DemandTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DemandTableConfig {
-    /// Demand is summed up over spans of this length: as long as the pause between a node's reports, so that each span
-    /// holds about one report of each.
+    /// Demand is aggregated over spans of this length, which equals the interval of a node's reports, so that each span
+    /// holds about one report of each node.
     pub span: Duration,
-    /// A node that reported nothing for this time is forgotten.
-    pub forgotten: Duration,
+    /// A node without a report for this time is removed.
+    pub expire_after: Duration,
 }
 
 impl Default for DemandTableConfig {
     fn default() -> Self {
-        DemandTableConfig { span: Duration::from_secs(1), forgotten: Duration::from_secs(120) }
+        DemandTableConfig { span: Duration::from_secs(1), expire_after: Duration::from_secs(120) }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Reporter {
     incarnation: u64,
-    /// The incarnation before, of which a report may still be on its way.
+    /// The previous incarnation, of which a report may still be in flight.
     previous_incarnation: Option<u64>,
     services: BTreeMap<ServiceName, ServiceDemand>,
     isolated_prefills: PrefillTotals,
-    heard_at: Timestamp,
+    received_at: Timestamp,
 }
 
-/// What all nodes ask of the engines, as their reports show it.
+/// Demand of all nodes on the engines, from their reports.
 #[derive(Clone, Debug)]
 pub struct DemandTable {
     config: DemandTableConfig,
     reporters: BTreeMap<Address, Reporter>,
-    /// What was added in the span that runs now.
+    /// Demand of the current span.
     current: BTreeMap<ServiceName, ServiceDemand>,
     span_began: Timestamp,
     last_demand: Option<Timestamp>,
-    /// Loads of spans that have ended and were not taken yet.
-    ended: VecDeque<(ServiceName, ServiceLoad)>,
+    /// Loads of completed spans that were not taken yet.
+    completed: VecDeque<(ServiceName, ServiceLoad)>,
 }
 
-/// What is believed of prefill engines before anything was reported, in tokens a millisecond.
-const READING_RATE_PRIOR: f64 = 100.0;
+/// Estimated rate of prefill engines before the first report, in tokens per millisecond.
+const PREFILL_RATE_PRIOR: f64 = 100.0;
 
-/// The time of reading that the prior counts for, in milliseconds.
+/// Prefill time that the prior counts for, in milliseconds.
 const PRIOR_MILLIS: f64 = 200.0;
 
 impl DemandTable {
-    /// A table without reports.
+    /// Creates a table without reports.
     pub fn new(config: DemandTableConfig, now: Timestamp) -> Self {
         DemandTable {
             config,
@@ -131,11 +131,11 @@
             current: BTreeMap::new(),
             span_began: now,
             last_demand: None,
-            ended: VecDeque::new(),
+            completed: VecDeque::new(),
         }
     }
 
-    /// Takes a report in; whether it told anything new.
+    /// Applies a report; returns `false` if it is older than one already applied.
     pub fn receive(&mut self, report: DemandReport, now: Timestamp) -> bool {
         let services: BTreeMap<ServiceName, ServiceDemand> = report.services.into_iter().collect();
         let known = self.reporters.get(&report.sender);
@@ -146,10 +146,10 @@
             if known.incarnation == report.incarnation { known.previous_incarnation } else { Some(known.incarnation) }
         });
         let added = match known {
-            // What it has counted before it was first heard of is no demand of now.
+            // Counts from before the node's first report are not current demand.
             None => Some(Vec::new()),
             Some(known) if known.incarnation != report.incarnation => Some(services.clone().into_iter().collect()),
-            Some(known) => differences(&known.services, &services),
+            Some(known) => increments(&known.services, &services),
         };
         let Some(added) = added else {
             return false;
@@ -161,65 +161,66 @@
             self.current.entry(service).or_default().add(demand);
         }
         let DemandReport { incarnation, isolated_prefills, .. } = report;
-        let reporter = Reporter { incarnation, previous_incarnation, services, isolated_prefills, heard_at: now };
+        let reporter = Reporter { incarnation, previous_incarnation, services, isolated_prefills, received_at: now };
         self.reporters.insert(report.sender, reporter);
         true
     }
 
-    /// Ends the span that runs, if it is over, and forgets nodes that are gone.
+    /// Completes the current span if its time is over, and removes nodes that no longer report.
     pub fn tick(&mut self, now: Timestamp) {
         let length = now.since(self.span_began);
         if length < self.config.span {
             return;
         }
-        let forgotten = self.config.forgotten;
-        self.reporters.retain(|_, reporter| now.since(reporter.heard_at) < forgotten);
-        let rate = self.reading_rate();
+        let expire_after = self.config.expire_after;
+        self.reporters.retain(|_, reporter| now.since(reporter.received_at) < expire_after);
+        let rate = self.prefill_rate();
         let seconds = length.as_secs_f64();
-        // A service that nobody asked for in this span has no load, which is news as well.
+        // A service without requests in this span is reported with zero load.
         for (service, demand) in &mut self.current {
             let load = ServiceLoad {
-                reading: demand.prefill_tokens as f64 / seconds / (rate * 1e3),
-                answering: demand.answer_millis as f64 / 1e3 / seconds,
+                busy_prefill_engines: demand.prefill_tokens as f64 / seconds / (rate * 1e3),
+                concurrent_answers: demand.answer_millis as f64 / 1e3 / seconds,
             };
-            self.ended.push_back((service.clone(), load));
+            self.completed.push_back((service.clone(), load));
             *demand = ServiceDemand::default();
         }
         self.span_began = now;
     }
 
-    /// The loads of spans that have ended since this was last asked.
+    /// Takes the loads of the spans completed since the last call.
     pub fn take_loads(&mut self) -> Vec<(ServiceName, ServiceLoad)> {
-        self.ended.drain(..).collect()
+        self.completed.drain(..).collect()
     }
 
-    /// When a report of `sender` came last.
-    pub fn heard_at(&self, sender: Address) -> Option<Timestamp> {
-        self.reporters.get(&sender).map(|reporter| reporter.heard_at)
+    /// When the last report of `sender` was received.
+    pub fn last_report_at(&self, sender: Address) -> Option<Timestamp> {
+        self.reporters.get(&sender).map(|reporter| reporter.received_at)
     }
 
-    /// When anybody has last asked for anything.
+    /// When a report last showed new demand.
     pub fn last_demand(&self) -> Option<Timestamp> {
         self.last_demand
     }
 
-    /// The nodes that report.
+    /// Number of nodes that report.
     pub fn reporters(&self) -> usize {
         self.reporters.len()
     }
 
-    /// The tokens that a prefill engine reads in a millisecond, by what all nodes have seen.
-    pub fn reading_rate(&self) -> f64 {
+    /// Estimated prefill rate of an engine in tokens per millisecond, from the observations of all nodes.
+    pub fn prefill_rate(&self) -> f64 {
         let totals = self.reporters.values().map(|reporter| reporter.isolated_prefills);
-        let seen = totals
-            .fold((0.0, 0.0), |seen, totals| (seen.0 + totals.tokens as f64, seen.1 + totals.micros as f64 / 1e3));
-        // The prior fades: it weighs as much as a few prompts.
-        (PRIOR_MILLIS * READING_RATE_PRIOR + seen.0) / (PRIOR_MILLIS + seen.1)
+        let observed = totals.fold((0.0, 0.0), |observed, totals| {
+            (observed.0 + totals.tokens as f64, observed.1 + totals.micros as f64 / 1e3)
+        });
+        // The prior weighs as much as a few prompts, so observations soon outweigh it.
+        (PRIOR_MILLIS * PREFILL_RATE_PRIOR + observed.0) / (PRIOR_MILLIS + observed.1)
     }
 }
 
-/// What was added to each service; `None` when a count has fallen, so that the report is older than the one before.
-fn differences(
+/// Increments of each service's counts; `None` if a count has decreased, which means that `after` is the older report.
+fn increments(
     before: &BTreeMap<ServiceName, ServiceDemand>,
     after: &BTreeMap<ServiceName, ServiceDemand>,
 ) -> Option<Vec<(ServiceName, ServiceDemand)>> {
--- a/crates/core/src/stages/policy.rs
+++ b/crates/core/src/stages/policy.rs
@@ -1,4 +1,4 @@
-//! How many engines of a service are to read prompts, decided from the load that was seen.
+//! Decides how many engines of a service run prefill, from the observed load.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,33 @@
 use crate::time::Timestamp;
 use crate::world::ServiceName;
 
-/// The work that a service's requests make.
+/// Load that a service's requests cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceLoad {
-    /// The prefill engines that would be busy with reading its prompts all the time.
-    pub reading: f64,
-    /// The answers that are generated at the same time.
-    pub answering: f64,
+    /// Number of prefill engines that the service's prompts would keep fully busy.
+    pub busy_prefill_engines: f64,
+    /// Number of answers generated at the same time.
+    pub concurrent_answers: f64,
 }
 
-/// The engines of a service by the stage that they serve or are about to serve.
+/// Number of engines of a service by the stage that they serve or change to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageCounts {
     /// Prefill engines.
     pub prefill: usize,
     /// Decode engines.
     pub decode: usize,
-    /// The answers that a decode engine generates at the same time.
+    /// Number of answers that a decode engine can generate at the same time.
     pub slots: u32,
 }
 
-/// How stages are decided.
+/// The policy that assigns engines to stages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StagePolicyName {
-    /// Engines keep the stage that they have; no order is given.
+    /// Engines keep their stage; no orders are sent.
     None,
-    /// A fixed share of the engines reads.
+    /// A fixed share of the engines runs prefill.
     Fixed,
     /// The share follows the load.
     #[default]
@@ -44,33 +44,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StagePolicyConfig {
-    /// How stages are decided.
+    /// The policy that assigns engines to stages.
     pub policy: StagePolicyName,
-    /// The share of a service's engines that reads under the policy `fixed`, and under `follow` in a system that starts for
-    /// the first time, until a load was seen.
+    /// Share of a service's engines that run prefill under the policy `fixed`, and under `follow` on the first start of
+    /// a system until a load is observed.
     pub prefill_share: f64,
-    /// The part of their time that prefill engines may be busy at the load to be borne; the rest is for prompts that come
-    /// together and for engines that are lost.
+    /// Target utilization of prefill engines at peak load; the remainder is headroom for bursts of prompts and for lost
+    /// engines.
     pub reading_utilization: f64,
-    /// The part of their places that decode engines may have taken at the load to be borne. Below 1: nodes place answers
-    /// without knowing of each other's.
+    /// Target share of occupied slots on decode engines at peak load. Below 1 because nodes place answers without
+    /// knowing of each other's.
     pub answering_utilization: f64,
-    /// The share of a service's engines that each stage keeps whatever the load is: the mix may swing faster than engines
-    /// change, and a fifth of the engines may be lost together.
+    /// Minimum share of a service's engines in each stage at any load: the mix may shift faster than engines change,
+    /// and a fifth of the engines may be lost together.
     pub floor_share: f64,
-    /// Loads of single spans are smoothed over this time, in seconds: longer than ripples.
+    /// Time constant for smoothing the loads of single spans, in seconds; longer than short fluctuations.
     pub smoothing_seconds: f64,
-    /// A load that was seen counts half after this time, in seconds: the mix may swing back.
+    /// Half-life of the observed peak load, in seconds; the peak is remembered because the mix may shift back.
     pub memory_seconds: f64,
-    /// The share of a service's engines by which the wanted number must differ from the one that there is, for engines to
-    /// change.
+    /// Minimum difference between the target and the present number of prefill engines, as a share of the service's
+    /// engines, for engines to change.
     pub change_minimum_share: f64,
-    /// Another number must be wanted for so long, in seconds, before engines change: about what a change costs. Engines that
-    /// crash are often back sooner.
+    /// Time for which the target must differ from the present number before engines change, in seconds: about what a
+    /// change costs. Engines that crash often return sooner.
     pub dwell_seconds: f64,
 }
 
-/// a value of the stages' settings is out of its range: {0}
+/// stage setting out of range: {0}
 #[derive(Clone, Debug, displaydoc::Display, PartialEq, Eq, thiserror::Error)]
 pub struct StagePolicyConfigError(pub &'static str);
 
@@ -91,12 +91,12 @@
 }
 
 impl StagePolicyConfig {
-    /// Checks that each value can be reckoned with.
+    /// Checks that each value is in its range.
     ///
     /// # Errors
-    /// Names the first value that can't.
+    /// Returns the first value that is out of range.
     pub fn validate(&self) -> Result<(), StagePolicyConfigError> {
-        let within = |value: f64, least: f64, most: f64| value.is_finite() && (least..=most).contains(&value);
+        let within = |value: f64, minimum: f64, maximum: f64| value.is_finite() && (minimum..=maximum).contains(&value);
         let checks = [
             (within(self.prefill_share, 0.0, 1.0), "prefill_share: 0 to 1"),
             (within(self.reading_utilization, 0.1, 1.0), "reading_utilization: 0.1 to 1"),
@@ -107,46 +107,46 @@
             (within(self.change_minimum_share, 0.0, 1.0), "change_minimum_share: 0 to 1"),
             (within(self.dwell_seconds, 0.0, 600.0), "dwell_seconds: 0 to 600"),
         ];
-        let wrong = checks.iter().find(|(holds, _)| !holds);
-        wrong.map_or(Ok(()), |(_, message)| Err(StagePolicyConfigError(message)))
+        let invalid = checks.iter().find(|(is_valid, _)| !is_valid);
+        invalid.map_or(Ok(()), |(_, message)| Err(StagePolicyConfigError(message)))
     }
 }
 
-/// Below this share of its engines' work, a service's load shows too little of its mix to decide on.
+/// Below this share of its engines' capacity, a service's load is too small to show its mix of prefill and decode.
 const LOAD_MINIMUM_SHARE: f64 = 0.1;
 
-/// How many engines of a service are to read, and why.
+/// Target number of prefill engines of a service, and the needs that it is derived from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StageDecision {
-    /// The prefill engines that are wanted.
+    /// Target number of prefill engines.
     pub prefill: usize,
-    /// The engines that reading needs at the load to be borne.
-    pub reading_need: f64,
-    /// The engines that answering needs.
-    pub answering_need: f64,
+    /// Number of engines that prefill needs at peak load.
+    pub prefill_need: f64,
+    /// Number of engines that decode needs at peak load.
+    pub decode_need: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LoadMemory {
+struct LoadHistory {
     smoothed: ServiceLoad,
-    borne: ServiceLoad,
+    peak: ServiceLoad,
     updated: Timestamp,
 }
 
-/// Decides how many engines of each service are to read.
+/// Decides how many engines of each service run prefill.
 #[derive(Clone, Debug)]
 pub struct StagePolicy {
     config: StagePolicyConfig,
-    memories: BTreeMap<ServiceName, LoadMemory>,
+    histories: BTreeMap<ServiceName, LoadHistory>,
 }
 
 impl StagePolicy {
-    /// A policy that has seen no load.
+    /// Creates a policy without observed load.
     pub fn new(config: StagePolicyConfig) -> Self {
-        StagePolicy { config, memories: BTreeMap::new() }
+        StagePolicy { config, histories: BTreeMap::new() }
     }
 
-    /// Goes by other limits from now on. What was seen is kept.
+    /// Replaces the limits; the observed load is kept.
     pub fn set_config(&mut self, config: StagePolicyConfig) {
         self.config = config;
     }
@@ -156,70 +156,74 @@
         self.config
     }
 
-    /// Takes in the load of a span that ended at `now`.
+    /// Records the load of a span that ended at `now`.
     pub fn observe(&mut self, service: &ServiceName, load: ServiceLoad, now: Timestamp) {
         let config = self.config;
-        let memory =
-            self.memories.entry(service.clone()).or_insert(LoadMemory { smoothed: load, borne: load, updated: now });
-        let elapsed = now.since(memory.updated).as_secs_f64();
+        let history =
+            self.histories.entry(service.clone()).or_insert(LoadHistory { smoothed: load, peak: load, updated: now });
+        let elapsed = now.since(history.updated).as_secs_f64();
         let weight =
             if config.smoothing_seconds > 0.0 { 1.0 - (-elapsed / config.smoothing_seconds).exp() } else { 1.0 };
-        let kept = 0.5_f64.powf(elapsed / config.memory_seconds);
-        let step = |smoothed: &mut f64, borne: &mut f64, seen: f64| {
-            *smoothed += (seen - *smoothed) * weight;
-            *borne = (*borne * kept).max(*smoothed);
+        let decay = 0.5_f64.powf(elapsed / config.memory_seconds);
+        let update = |smoothed: &mut f64, peak: &mut f64, observed: f64| {
+            *smoothed += (observed - *smoothed) * weight;
+            *peak = (*peak * decay).max(*smoothed);
         };
-        step(&mut memory.smoothed.reading, &mut memory.borne.reading, load.reading);
-        step(&mut memory.smoothed.answering, &mut memory.borne.answering, load.answering);
-        memory.updated = now;
+        update(
+            &mut history.smoothed.busy_prefill_engines,
+            &mut history.peak.busy_prefill_engines,
+            load.busy_prefill_engines,
+        );
+        update(&mut history.smoothed.concurrent_answers, &mut history.peak.concurrent_answers, load.concurrent_answers);
+        history.updated = now;
     }
 
-    /// The load of `service` that engines are to bear: the highest of late, fading.
-    pub fn load_borne(&self, service: &ServiceName) -> Option<ServiceLoad> {
-        self.memories.get(service).map(|memory| memory.borne)
+    /// Decaying peak load that the engines of `service` are sized for.
+    pub fn peak_load(&self, service: &ServiceName) -> Option<ServiceLoad> {
+        self.histories.get(service).map(|history| history.peak)
     }
 
-    /// How many engines of `service` are to read, when `counts` do and don't now; `None` when nothing is known or decided.
-    /// `is_first` tells that nobody has decided before in this system.
+    /// Decides how many engines of `service` run prefill, given the present `counts`; `None` if there is nothing to
+    /// decide on. `is_first` means that no node has decided before in this system.
     ///
-    /// Both stages are to be used alike, measured by what each may bear, within the floors.
+    /// Both stages get the same utilization relative to their targets, within the floors.
     pub fn decide(&self, service: &ServiceName, counts: StageCounts, is_first: bool) -> Option<StageDecision> {
         let engines = counts.prefill + counts.decode;
-        let least = (self.config.floor_share * engines as f64).ceil().max(1.0) as usize;
-        if engines < 2 || 2 * least > engines {
+        let minimum = (self.config.floor_share * engines as f64).ceil().max(1.0) as usize;
+        if engines < 2 || 2 * minimum > engines {
             return None;
         }
-        let planned = || {
-            let wanted = (self.config.prefill_share * engines as f64).round() as usize;
-            let prefill = wanted.clamp(least, engines - least);
-            StageDecision { prefill, reading_need: 0.0, answering_need: 0.0 }
+        let configured = || {
+            let target = (self.config.prefill_share * engines as f64).round() as usize;
+            let prefill = target.clamp(minimum, engines - minimum);
+            StageDecision { prefill, prefill_need: 0.0, decode_need: 0.0 }
         };
         match self.config.policy {
             StagePolicyName::None => None,
-            StagePolicyName::Fixed => Some(planned()),
+            StagePolicyName::Fixed => Some(configured()),
             StagePolicyName::Follow => {
-                let Some(borne) = self.load_borne(service) else {
-                    return is_first.then(planned);
+                let Some(peak) = self.peak_load(service) else {
+                    return is_first.then(configured);
                 };
-                let reading_need = borne.reading / self.config.reading_utilization;
-                let places = f64::from(counts.slots.max(1)) * self.config.answering_utilization;
-                let answering_need = borne.answering / places;
-                if reading_need + answering_need < LOAD_MINIMUM_SHARE * engines as f64 {
-                    return is_first.then(planned);
+                let prefill_need = peak.busy_prefill_engines / self.config.reading_utilization;
+                let target_slots = f64::from(counts.slots.max(1)) * self.config.answering_utilization;
+                let decode_need = peak.concurrent_answers / target_slots;
+                if prefill_need + decode_need < LOAD_MINIMUM_SHARE * engines as f64 {
+                    return is_first.then(configured);
                 }
-                let wanted = self.wanted(counts, least, reading_need / (reading_need + answering_need));
-                Some(StageDecision { prefill: wanted, reading_need, answering_need })
+                let target = self.target_prefill(counts, minimum, prefill_need / (prefill_need + decode_need));
+                Some(StageDecision { prefill: target, prefill_need, decode_need })
             }
         }
     }
 
-    fn wanted(&self, counts: StageCounts, least: usize, reading_share: f64) -> usize {
+    fn target_prefill(&self, counts: StageCounts, minimum: usize, need_share: f64) -> usize {
         let engines = counts.prefill + counts.decode;
-        let wanted = (engines as f64 * reading_share).round() as usize;
-        let wanted = wanted.clamp(least, engines - least);
-        let change = wanted.abs_diff(counts.prefill) as f64;
+        let target = (engines as f64 * need_share).round() as usize;
+        let target = target.clamp(minimum, engines - minimum);
+        let change = target.abs_diff(counts.prefill) as f64;
         let is_small = change < (self.config.change_minimum_share * engines as f64).max(1.0);
-        let floors_hold = (least..=engines - least).contains(&counts.prefill);
-        if is_small && floors_hold { counts.prefill } else { wanted }
+        let floors_hold = (minimum..=engines - minimum).contains(&counts.prefill);
+        if is_small && floors_hold { counts.prefill } else { target }
     }
 }
--- a/crates/core/tests/stages_changes.rs
+++ b/crates/core/tests/stages_changes.rs
@@ -1,4 +1,4 @@
-//! Engines that change their stage, with orders that are lost, late and refused.
+//! Stage changes of engines with lost, late and refused orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     BackEndId::new(format!("engine-{number:02}"))
 }
 
-/// Engines over three zones, the first `prefill` of which read.
+/// Engines in three zones; the first `prefill` of them serve prefill.
 fn engines(count: usize, prefill: usize) -> Vec<StagedEngine> {
     let engine = |number: usize| StagedEngine {
         id: id(number),
@@ -32,35 +32,35 @@
     StageChanges::new(ChangesConfig::default())
 }
 
-fn emptied() -> Timestamp {
+fn drained() -> Timestamp {
     START + ChangesConfig::default().drain_time
 }
 
 #[test]
-fn few_engines_change_at_once_and_they_come_from_all_zones() {
+fn concurrent_changes_are_limited_and_spread_over_zones() {
     let mut changes = changes();
     let engines = engines(30, 6);
-    let begun = changes.plan(&service(), &engines, 20, START);
-    assert_eq!(begun.len(), 6);
+    let started = changes.plan(&service(), &engines, 20, START);
+    assert_eq!(started.len(), 6);
     for zone in 0..3 {
-        let of_zone = begun.iter().filter(|order| {
+        let of_zone = started.iter().filter(|order| {
             engines.iter().any(|engine| engine.id == order.engine && engine.zone.as_str() == format!("zone-{zone}"))
         });
         assert_eq!(of_zone.count(), 2, "zone {zone}");
     }
-    assert!(changes.plan(&service(), &engines, 20, START).is_empty(), "no more before those are done");
+    assert!(changes.plan(&service(), &engines, 20, START).is_empty(), "no further changes before these are done");
 }
 
 #[test]
-fn nothing_is_ordered_before_all_nodes_have_heard_of_it() {
+fn orders_wait_until_the_drain_time_has_passed() {
     let mut changes = changes();
     changes.plan(&service(), &engines(10, 4), 5, START);
     assert!(changes.due(START).is_empty());
-    assert_eq!(changes.due(emptied()).len(), 1);
+    assert_eq!(changes.due(drained()).len(), 1);
 }
 
 #[test]
-fn a_change_that_nothing_was_ordered_for_is_called_off_when_the_mix_turns() {
+fn an_unordered_change_is_cancelled_when_the_target_reverses() {
     let mut changes = changes();
     let engines = engines(10, 4);
     changes.plan(&service(), &engines, 5, START);
@@ -69,65 +69,65 @@
 }
 
 #[test]
-fn a_change_that_was_ordered_is_not_turned_into_another_one() {
+fn an_ordered_change_is_not_replaced() {
     let mut changes = changes();
     let engines = engines(10, 4);
-    let begun = changes.plan(&service(), &engines, 5, START);
-    changes.ordered(&begun[0].engine);
-    changes.answered(&begun[0].engine, OrderAnswer::Unknown, emptied());
-    let other = changes.plan(&service(), &engines, 4, emptied());
-    assert!(other.iter().all(|order| order.engine != begun[0].engine));
-    assert_eq!(changes.open().filter(|change| change.engine == begun[0].engine).count(), 1);
+    let started = changes.plan(&service(), &engines, 5, START);
+    changes.ordered(&started[0].engine);
+    changes.answered(&started[0].engine, OrderAnswer::Unknown, drained());
+    let other = changes.plan(&service(), &engines, 4, drained());
+    assert!(other.iter().all(|order| order.engine != started[0].engine));
+    assert_eq!(changes.open().filter(|change| change.engine == started[0].engine).count(), 1);
 }
 
 #[test]
-fn an_order_of_unknown_fate_is_given_again_and_is_the_same() {
+fn an_order_with_unknown_outcome_is_retried_unchanged() {
     let mut changes = changes();
-    let begun = changes.plan(&service(), &engines(10, 4), 5, START);
-    changes.ordered(&begun[0].engine);
-    assert!(changes.due(emptied()).is_empty());
-    changes.answered(&begun[0].engine, OrderAnswer::Unknown, emptied());
-    let again = emptied() + ChangesConfig::default().retry_pause;
-    assert_eq!(changes.due(again), begun);
+    let started = changes.plan(&service(), &engines(10, 4), 5, START);
+    changes.ordered(&started[0].engine);
+    assert!(changes.due(drained()).is_empty());
+    changes.answered(&started[0].engine, OrderAnswer::Unknown, drained());
+    let retry_at = drained() + ChangesConfig::default().retry_pause;
+    assert_eq!(changes.due(retry_at), started);
 }
 
 #[test]
-fn an_engine_that_is_another_one_or_knows_no_such_order_is_left_alone() {
+fn a_wrong_engine_or_an_unsupported_order_causes_a_backoff() {
     for answer in [OrderAnswer::AnotherEngine, OrderAnswer::NotUnderstood] {
         let mut changes = changes();
         let engines = engines(2, 1);
-        let begun = changes.plan(&service(), &engines, 2, START);
-        changes.ordered(&begun[0].engine);
-        changes.answered(&begun[0].engine, answer, emptied());
+        let started = changes.plan(&service(), &engines, 2, START);
+        changes.ordered(&started[0].engine);
+        changes.answered(&started[0].engine, answer, drained());
         assert!(changes.is_empty());
-        assert!(changes.plan(&service(), &engines, 2, emptied()).is_empty());
+        assert!(changes.plan(&service(), &engines, 2, drained()).is_empty());
     }
 }
 
 #[test]
-fn changes_end_when_seen_done_or_gone_or_after_a_time() {
+fn changes_end_when_done_when_the_engine_is_gone_or_after_a_timeout() {
     let mut changes = changes();
-    let begun = changes.plan(&service(), &engines(15, 5), 8, START);
-    assert_eq!(begun.len(), 3);
-    for order in &begun {
+    let started = changes.plan(&service(), &engines(15, 5), 8, START);
+    assert_eq!(started.len(), 3);
+    for order in &started {
         changes.ordered(&order.engine);
-        changes.answered(&order.engine, OrderAnswer::Accepted, emptied());
+        changes.answered(&order.engine, OrderAnswer::Accepted, drained());
     }
     let stage_of = |engine: &BackEndId| match engine {
-        engine if *engine == begun[0].engine => Some(EngineStage::Prefill),
-        engine if *engine == begun[1].engine => None,
+        engine if *engine == started[0].engine => Some(EngineStage::Prefill),
+        engine if *engine == started[1].engine => None,
         _ => Some(EngineStage::Decode),
     };
-    let ended = changes.observe(stage_of, emptied());
+    let ended = changes.observe(stage_of, drained());
     let ends: Vec<ChangeEnd> = ended.into_iter().map(|(_, end)| end).collect();
     assert_eq!(ends.len(), 2);
     assert!(ends.contains(&ChangeEnd::Done) && ends.contains(&ChangeEnd::EngineGone));
-    let late = START + ChangesConfig::default().give_up;
-    assert_eq!(changes.observe(stage_of, late)[0].1, ChangeEnd::GivenUp);
+    let deadline = START + ChangesConfig::default().give_up_after;
+    assert_eq!(changes.observe(stage_of, deadline)[0].1, ChangeEnd::GivenUp);
 }
 
-/// Begins one change, orders it, and lets its engine end by it. Whether a change began.
-fn one_more_engine_ends(changes: &mut StageChanges, engines: &mut Vec<StagedEngine>, now: Timestamp) -> bool {
+/// Starts one change, orders it and terminates its engine. Returns whether a change was started.
+fn order_terminates_engine(changes: &mut StageChanges, engines: &mut Vec<StagedEngine>, now: Timestamp) -> bool {
     let Some(order) = changes.plan(&service(), engines, 4, now).pop() else {
         return false;
     };
@@ -138,169 +138,169 @@
     true
 }
 
-/// An order that ends its engine went through the fleet: each change was limited by itself, and the engine that was gone made
-/// room for the next one. The same cause as that of requests which end their engines; found by looking for it here.
+/// Guards against an order that terminates its engine going through the whole fleet: each change was limited by itself,
+/// and the engine that was gone made room for the next one. Requests that terminate their engines had the same cause.
 #[test]
-fn orders_that_end_one_engine_after_the_other_stop() {
+fn orders_are_paused_after_consecutive_terminations() {
     let mut changes = changes();
     let mut engines = engines(10, 3);
     let mut now = START;
     for _ in 0..3 {
-        assert!(one_more_engine_ends(&mut changes, &mut engines, now));
+        assert!(order_terminates_engine(&mut changes, &mut engines, now));
         now = now + Duration::from_secs(2);
     }
-    assert!(!one_more_engine_ends(&mut changes, &mut engines, now));
-    let pause = ChangesConfig::default().ordered_ends.first_pause;
+    assert!(!order_terminates_engine(&mut changes, &mut engines, now));
+    let pause = ChangesConfig::default().circuit_breaker.initial_pause;
     now = now + pause;
-    assert!(one_more_engine_ends(&mut changes, &mut engines, now), "a pause lapses");
-    assert!(!one_more_engine_ends(&mut changes, &mut engines, now + pause), "the next one is longer");
+    assert!(order_terminates_engine(&mut changes, &mut engines, now), "the pause expires");
+    assert!(!order_terminates_engine(&mut changes, &mut engines, now + pause), "the next pause is longer");
     assert!(!changes.pause(&service(), now + pause).is_zero());
     assert!(changes.pause(&ServiceName::new("another"), now).is_zero());
 }
 
 #[test]
-fn a_change_that_succeeds_or_engines_that_are_gone_at_once_stop_nothing() {
+fn successful_changes_and_simultaneous_terminations_do_not_pause_orders() {
     let mut changes = changes();
     let mut engines = engines(40, 3);
     for round in 0..3 {
         let now = START + Duration::from_secs(10) * round;
-        assert!(one_more_engine_ends(&mut changes, &mut engines, now));
-        assert!(one_more_engine_ends(&mut changes, &mut engines, now));
-        let order = changes.plan(&service(), &engines, 4, now).pop().expect("a change begins");
+        assert!(order_terminates_engine(&mut changes, &mut engines, now));
+        assert!(order_terminates_engine(&mut changes, &mut engines, now));
+        let order = changes.plan(&service(), &engines, 4, now).pop().expect("a change is started");
         changes.ordered(&order.engine);
         changes.observe(|_| Some(EngineStage::Prefill), now);
     }
-    let begun = changes.plan(&service(), &engines, 6, START);
-    assert!(begun.len() > 2);
-    begun.iter().for_each(|order| changes.ordered(&order.engine));
-    assert_eq!(changes.observe(|_| None, START).len(), begun.len());
-    assert!(changes.pause(&service(), START).is_zero(), "they count once");
+    let started = changes.plan(&service(), &engines, 6, START);
+    assert!(started.len() > 2);
+    started.iter().for_each(|order| changes.ordered(&order.engine));
+    assert_eq!(changes.observe(|_| None, START).len(), started.len());
+    assert!(changes.pause(&service(), START).is_zero(), "simultaneous terminations count once");
 }
 
 #[test]
-fn a_change_without_authority_is_called_off_soon() {
+fn a_change_without_authority_is_cancelled() {
     let mut changes = changes();
     changes.plan(&service(), &engines(10, 4), 5, START);
-    let late = START + ChangesConfig::default().call_off;
-    let ended = changes.observe(|_| Some(EngineStage::Decode), late);
-    assert_eq!(ended[0].1, ChangeEnd::CalledOff);
+    let deadline = START + ChangesConfig::default().cancel_after;
+    let ended = changes.observe(|_| Some(EngineStage::Decode), deadline);
+    assert_eq!(ended[0].1, ChangeEnd::Cancelled);
 }
 
 #[test]
-fn an_engine_that_no_order_reaches_is_let_go_soon_and_left_alone_for_a_while() {
+fn the_change_of_an_unreachable_engine_is_cancelled_and_followed_by_a_backoff() {
     let mut changes = changes();
     let engines = engines(2, 1);
-    let begun = changes.plan(&service(), &engines, 2, START);
-    changes.ordered(&begun[0].engine);
-    changes.answered(&begun[0].engine, OrderAnswer::NotSent, emptied());
-    let late = START + ChangesConfig::default().call_off;
-    let ended = changes.observe(|_| Some(EngineStage::Decode), late);
-    assert_eq!(ended.iter().map(|(_, end)| end.clone()).collect::<Vec<_>>(), [ChangeEnd::CalledOff]);
-    assert!(changes.plan(&service(), &engines, 2, late).is_empty());
-    let rested = late + ChangesConfig::default().rest;
-    assert_eq!(changes.plan(&service(), &engines, 2, rested).len(), 1);
+    let started = changes.plan(&service(), &engines, 2, START);
+    changes.ordered(&started[0].engine);
+    changes.answered(&started[0].engine, OrderAnswer::NotSent, drained());
+    let deadline = START + ChangesConfig::default().cancel_after;
+    let ended = changes.observe(|_| Some(EngineStage::Decode), deadline);
+    assert_eq!(ended.iter().map(|(_, end)| end.clone()).collect::<Vec<_>>(), [ChangeEnd::Cancelled]);
+    assert!(changes.plan(&service(), &engines, 2, deadline).is_empty());
+    let backoff_over = deadline + ChangesConfig::default().backoff;
+    assert_eq!(changes.plan(&service(), &engines, 2, backoff_over).len(), 1);
 }
 
 #[test]
-fn an_order_that_may_have_reached_an_engine_is_not_called_off_when_the_next_one_does_not_leave() {
+fn a_possibly_delivered_order_is_not_cancelled_when_its_retry_is_not_sent() {
     let mut changes = changes();
-    let begun = changes.plan(&service(), &engines(2, 1), 2, START);
+    let started = changes.plan(&service(), &engines(2, 1), 2, START);
     for answer in [OrderAnswer::Unknown, OrderAnswer::NotSent] {
-        changes.ordered(&begun[0].engine);
-        changes.answered(&begun[0].engine, answer, emptied());
+        changes.ordered(&started[0].engine);
+        changes.answered(&started[0].engine, answer, drained());
     }
-    let late = START + ChangesConfig::default().call_off;
-    assert!(changes.observe(|_| Some(EngineStage::Decode), late).is_empty());
+    let deadline = START + ChangesConfig::default().cancel_after;
+    assert!(changes.observe(|_| Some(EngineStage::Decode), deadline).is_empty());
 }
 
 #[test]
-fn no_more_engines_change_at_once_than_all_nodes_can_be_told_of_however_large_the_fleet() {
+fn concurrent_changes_fit_into_one_announcement_in_a_large_fleet() {
     let mut changes = changes();
-    let most = ChangesConfig::default().concurrent_maximum;
+    let maximum = ChangesConfig::default().concurrent_maximum;
     let engines = engines(4_100, 1_400);
-    assert_eq!(changes.plan(&service(), &engines, 2_600, START).len(), most);
+    assert_eq!(changes.plan(&service(), &engines, 2_600, START).len(), maximum);
     let other = ServiceName::new("another model");
     assert!(changes.plan(&other, &[], 0, START).is_empty());
     assert!(changes.plan(&other, &self::engines(50, 10)[..40], 30, START).is_empty());
-    assert_eq!(changes.open().count(), most);
+    assert_eq!(changes.open().count(), maximum);
 }
 
-/// An engine that follows an order only when it expects the number of orders that the engine has taken.
+/// An engine that follows an order only if the order expects the number of orders that the engine has accepted.
 struct Engine {
     stage: EngineStage,
-    taken: u64,
+    accepted: u64,
     alive: bool,
 }
 
-/// An order on its way to an engine: when it arrives, what it says, and the number of orders that it expects.
-struct Travelling {
+/// An order in flight to an engine: its arrival, its content, and the number of accepted orders that it expects.
+struct InFlightOrder {
     arrives: Timestamp,
     order: StageOrder,
     expects: u64,
 }
 
 #[test]
-fn engines_get_where_they_are_wanted_and_never_hold_conflicting_orders() {
+fn engines_reach_the_target_without_conflicting_orders() {
     for seed in 0..200 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut changes = changes();
-        let zones = engines(12, 4);
-        let mut fleet: BTreeMap<BackEndId, Engine> = zones
+        let initial = engines(12, 4);
+        let mut fleet: BTreeMap<BackEndId, Engine> = initial
             .iter()
-            .map(|engine| (engine.id.clone(), Engine { stage: engine.stage, taken: 0, alive: true }))
+            .map(|engine| (engine.id.clone(), Engine { stage: engine.stage, accepted: 0, alive: true }))
             .collect();
-        let mut travelling: Vec<Travelling> = Vec::new();
-        let mut wanted = 4;
+        let mut in_flight: Vec<InFlightOrder> = Vec::new();
+        let mut target = 4;
         for step in 0..1_500_u64 {
             let now = START + Duration::from_millis(200) * step as u32;
             let quiet = step > 900;
             if !quiet && random.u32(..60) == 0 {
-                wanted = random.usize(2..10);
+                target = random.usize(2..10);
             }
             if !quiet && random.u32(..400) == 0 {
                 let number = random.usize(..12);
-                fleet.get_mut(&id(number)).expect("it is there").alive = false;
+                fleet.get_mut(&id(number)).expect("the engine exists").alive = false;
             }
-            travelling.retain(|late| {
-                if late.arrives > now {
+            in_flight.retain(|delivery| {
+                if delivery.arrives > now {
                     return true;
                 }
-                let engine = fleet.get_mut(&late.order.engine).expect("it is there");
-                if engine.taken == late.expects {
-                    engine.taken += 1;
-                    engine.stage = late.order.to;
+                let engine = fleet.get_mut(&delivery.order.engine).expect("the engine exists");
+                if engine.accepted == delivery.expects {
+                    engine.accepted += 1;
+                    engine.stage = delivery.order.to;
                 }
                 false
             });
-            let shown: Vec<StagedEngine> = zones
+            let listed: Vec<StagedEngine> = initial
                 .iter()
                 .filter(|engine| fleet[&engine.id].alive)
                 .map(|engine| StagedEngine { stage: fleet[&engine.id].stage, ..engine.clone() })
                 .collect();
             changes
                 .observe(|engine| Some(&fleet[engine]).filter(|engine| engine.alive).map(|engine| engine.stage), now);
-            changes.plan(&service(), &shown, wanted.min(shown.len()), now);
-            let at_once = ((shown.len() as f64 * ChangesConfig::default().concurrent_share) as usize).max(1);
+            changes.plan(&service(), &listed, target.min(listed.len()), now);
+            let concurrent_limit = ((listed.len() as f64 * ChangesConfig::default().concurrent_share) as usize).max(1);
             let open = changes.open().count();
-            // Engines that died since changes began may leave more open than may begin now.
-            assert!(open <= at_once.max(3), "seed {seed}: {open} at once");
+            // If engines terminated after changes started, more changes may be open than may start now.
+            assert!(open <= concurrent_limit.max(3), "seed {seed}: {open} concurrent changes");
             for order in changes.due(now) {
                 changes.ordered(&order.engine);
-                let engine = fleet.get_mut(&order.engine).expect("it is there");
-                for other in travelling.iter().filter(|other| other.order.engine == order.engine) {
-                    let conflicts = other.order.to != order.to && other.expects == engine.taken;
+                let engine = fleet.get_mut(&order.engine).expect("the engine exists");
+                for other in in_flight.iter().filter(|other| other.order.engine == order.engine) {
+                    let conflicts = other.order.to != order.to && other.expects == engine.accepted;
                     assert!(!conflicts, "seed {seed}: conflicting orders to {}", order.engine);
                 }
                 let answer = match random.u32(..10) {
                     0 | 1 if !quiet => {
                         let arrives = now + Duration::from_millis(random.u64(200..12_000));
-                        travelling.push(Travelling { arrives, order: order.clone(), expects: engine.taken });
+                        in_flight.push(InFlightOrder { arrives, order: order.clone(), expects: engine.accepted });
                         OrderAnswer::Unknown
                     }
                     2 if !quiet => OrderAnswer::NotSent,
                     3 if !quiet => OrderAnswer::Busy,
                     _ => {
-                        engine.taken += 1;
+                        engine.accepted += 1;
                         engine.stage = order.to;
                         OrderAnswer::Accepted
                     }
@@ -311,6 +311,6 @@
         let alive = fleet.values().filter(|engine| engine.alive);
         let prefill = alive.filter(|engine| engine.stage == EngineStage::Prefill).count();
         let alive = fleet.values().filter(|engine| engine.alive).count();
-        assert_eq!(prefill, wanted.min(alive), "seed {seed}");
+        assert_eq!(prefill, target.min(alive), "seed {seed}");
     }
 }
--- a/crates/core/tests/stages_demand.rs
+++ b/crates/core/tests/stages_demand.rs
@@ -1,4 +1,4 @@
-//! What all nodes ask of engines, from reports that come late, twice, out of order or never.
+//! Aggregated demand of all nodes from reports that arrive late, twice, out of order or never.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,14 +33,14 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The answers, of a second each, that the table counts in the span of a second that it ends.
+/// Completes a span of a second and returns the number of answers, of a second each, that the table counted in it.
 fn counted(table: &mut DemandTable, now: Timestamp) -> f64 {
     table.tick(now);
-    table.take_loads().iter().map(|(_, load)| load.answering).sum()
+    table.take_loads().iter().map(|(_, load)| load.concurrent_answers).sum()
 }
 
 #[test]
-fn reports_in_any_order_with_repeats_and_losses_never_count_a_request_twice() {
+fn reordered_repeated_and_lost_reports_never_count_a_request_twice() {
     for seed in 0..200 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut table = table();
@@ -49,15 +49,15 @@
         let mut first = BTreeMap::new();
         for _ in 0..60 {
             let node = random.u8(1..5);
-            let (life, counters, total) = real.entry(node).or_insert((1, DemandCounters::default(), 0));
+            let (incarnation, counters, total) = real.entry(node).or_insert((1, DemandCounters::default(), 0));
             let requests = random.u64(..5);
             (0..requests).for_each(|_| counters.record_answer(&service(), SECOND));
             *total += requests;
-            let report = report(node, *life, counters);
+            let report = report(node, *incarnation, counters);
             first.entry(node).or_insert(*total);
             sent.push(report);
         }
-        // The first report of each node comes first: what was counted before is no demand of now.
+        // The first report of each node arrives first: counts from before it are not current demand.
         for node in 1..5_u8 {
             if let Some(report) = sent.iter().find(|report| report.sender == address(node)) {
                 table.receive(report.clone(), START);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_last_report_of_each_node_tells_all_whatever_was_lost_before() {
+fn the_last_report_of_each_node_contains_the_counts_of_lost_reports() {
     let mut table = table();
     let mut counters = DemandCounters::default();
     table.receive(report(1, 1, &counters), START);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_node_that_was_restarted_counts_anew() {
+fn a_restarted_node_counts_from_zero() {
     let mut table = table();
     let mut counters = DemandCounters::default();
     (0..30).for_each(|_| counters.record_answer(&service(), SECOND));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_report_of_a_former_life_that_comes_late_adds_nothing() {
+fn a_late_report_of_a_previous_incarnation_adds_nothing() {
     let mut table = table();
     let counted_so_far = |answers: u32| {
         let mut counters = DemandCounters::default();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_report_that_was_overtaken_is_not_taken_in() {
+fn an_outdated_report_is_not_applied() {
     let mut table = table();
     let old = DemandCounters::default();
     let mut new = DemandCounters::default();
@@ -125,25 +125,25 @@
 }
 
 #[test]
-fn a_span_without_requests_is_told_as_one_without_load() {
+fn a_span_without_requests_is_reported_with_zero_load() {
     let mut table = table();
     let mut counters = DemandCounters::default();
     table.receive(report(1, 1, &counters), START);
     counters.record_prompt(&service(), 5_000);
     table.receive(report(1, 1, &counters), START);
     table.tick(START + SECOND);
-    assert!(table.take_loads()[0].1.reading > 0.0);
+    assert!(table.take_loads()[0].1.busy_prefill_engines > 0.0);
     table.tick(START + Duration::from_secs(2));
-    assert_eq!(table.take_loads()[0].1.reading, 0.0);
+    assert_eq!(table.take_loads()[0].1.busy_prefill_engines, 0.0);
 }
 
 #[test]
-fn what_all_nodes_have_seen_tells_the_rate_though_each_has_seen_little() {
+fn few_observations_of_each_node_add_up_to_the_prefill_rate() {
     let mut table = table();
     for node in 1..=60 {
         let isolated_prefills = PrefillTotals { tokens: 12_000, micros: 200_000 };
         let counters = DemandCounters::default();
         table.receive(DemandReport { isolated_prefills, ..report(node, 1, &counters) }, START);
     }
-    assert!((table.reading_rate() - 60.0).abs() < 2.0, "{}", table.reading_rate());
+    assert!((table.prefill_rate() - 60.0).abs() < 2.0, "{}", table.prefill_rate());
 }
--- a/crates/core/tests/stages_policy.rs
+++ b/crates/core/tests/stages_policy.rs
@@ -1,4 +1,4 @@
-//! How many engines are to read.
+//! Decisions on the number of prefill engines.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
     StagePolicyConfig { policy: StagePolicyName::Follow, ..StagePolicyConfig::default() }
 }
 
-/// A policy that has seen `load` for a minute.
-fn after(load: ServiceLoad) -> StagePolicy {
+/// A policy that has observed `load` for a minute.
+fn policy_after(load: ServiceLoad) -> StagePolicy {
     let mut policy = StagePolicy::new(config());
     for second in 0..60 {
         policy.observe(&service(), load, START + Duration::from_secs(second));
@@ -26,95 +26,101 @@
     policy
 }
 
-fn wanted(policy: &StagePolicy, prefill: usize, decode: usize) -> Option<usize> {
+fn target_prefill(policy: &StagePolicy, prefill: usize, decode: usize) -> Option<usize> {
     policy.decide(&service(), StageCounts { prefill, decode, slots: 10 }, false).map(|decision| decision.prefill)
 }
 
 #[test]
-fn both_stages_are_used_alike_by_what_each_may_bear() {
-    // 14 engines' reading at 0.7 needs 20; 120 answers on 10 places at 0.6 need 20.
-    let policy = after(ServiceLoad { reading: 14.0, answering: 120.0 });
-    assert_eq!(wanted(&policy, 8, 32), Some(20));
-    assert_eq!(wanted(&policy, 32, 8), Some(20));
-    let policy = after(ServiceLoad { reading: 14.0, answering: 80.0 });
-    assert_eq!(wanted(&policy, 8, 32), Some(24));
+fn both_stages_get_the_same_utilization_relative_to_their_targets() {
+    // 14 busy prefill engines at a utilization of 0.7 need 20; 120 answers in 10 slots an engine at 0.6 need 20.
+    let policy = policy_after(ServiceLoad { busy_prefill_engines: 14.0, concurrent_answers: 120.0 });
+    assert_eq!(target_prefill(&policy, 8, 32), Some(20));
+    assert_eq!(target_prefill(&policy, 32, 8), Some(20));
+    let policy = policy_after(ServiceLoad { busy_prefill_engines: 14.0, concurrent_answers: 80.0 });
+    assert_eq!(target_prefill(&policy, 8, 32), Some(24));
 }
 
 #[test]
 fn a_small_difference_changes_nothing() {
-    let policy = after(ServiceLoad { reading: 14.0, answering: 120.0 });
+    let policy = policy_after(ServiceLoad { busy_prefill_engines: 14.0, concurrent_answers: 120.0 });
     for prefill in 17..=23 {
-        assert_eq!(wanted(&policy, prefill, 40 - prefill), Some(prefill));
+        assert_eq!(target_prefill(&policy, prefill, 40 - prefill), Some(prefill));
     }
 }
 
 #[test]
 fn a_load_too_small_to_show_the_mix_changes_nothing() {
-    let policy = after(ServiceLoad { reading: 1.0, answering: 3.0 });
-    assert_eq!(wanted(&policy, 8, 32), None);
+    let policy = policy_after(ServiceLoad { busy_prefill_engines: 1.0, concurrent_answers: 3.0 });
+    assert_eq!(target_prefill(&policy, 8, 32), None);
 }
 
 #[test]
-fn nothing_is_decided_before_a_load_was_seen_nor_for_engines_too_few_to_part() {
-    assert_eq!(wanted(&StagePolicy::new(config()), 4, 4), None);
-    let policy = after(ServiceLoad { reading: 60.0, answering: 1.0 });
-    assert_eq!((wanted(&policy, 1, 0), wanted(&policy, 0, 0)), (None, None));
+fn nothing_is_decided_without_a_load_or_with_too_few_engines() {
+    assert_eq!(target_prefill(&StagePolicy::new(config()), 4, 4), None);
+    let policy = policy_after(ServiceLoad { busy_prefill_engines: 60.0, concurrent_answers: 1.0 });
+    assert_eq!((target_prefill(&policy, 1, 0), target_prefill(&policy, 0, 0)), (None, None));
 }
 
 #[test]
-fn the_policy_none_wants_nothing_and_fixed_wants_its_share() {
-    let mut policy = after(ServiceLoad { reading: 60.0, answering: 1.0 });
+fn the_policy_none_decides_nothing_and_fixed_decides_its_share() {
+    let mut policy = policy_after(ServiceLoad { busy_prefill_engines: 60.0, concurrent_answers: 1.0 });
     policy.set_config(StagePolicyConfig { policy: StagePolicyName::None, ..config() });
-    assert_eq!(wanted(&policy, 4, 36), None);
+    assert_eq!(target_prefill(&policy, 4, 36), None);
     policy.set_config(StagePolicyConfig { policy: StagePolicyName::Fixed, prefill_share: 0.5, ..config() });
-    assert_eq!(wanted(&policy, 4, 36), Some(20));
+    assert_eq!(target_prefill(&policy, 4, 36), Some(20));
 }
 
 #[test]
-fn a_load_that_was_seen_is_remembered_when_the_mix_swings() {
-    let mut policy = after(ServiceLoad { reading: 14.0, answering: 120.0 });
+fn the_peak_load_is_remembered_when_the_mix_shifts() {
+    let mut policy = policy_after(ServiceLoad { busy_prefill_engines: 14.0, concurrent_answers: 120.0 });
     for second in 60..68 {
-        policy.observe(&service(), ServiceLoad { reading: 2.0, answering: 120.0 }, START + Duration::from_secs(second));
+        policy.observe(
+            &service(),
+            ServiceLoad { busy_prefill_engines: 2.0, concurrent_answers: 120.0 },
+            START + Duration::from_secs(second),
+        );
     }
-    assert_eq!(wanted(&policy, 20, 20), Some(20));
+    assert_eq!(target_prefill(&policy, 20, 20), Some(20));
 }
 
 #[test]
-fn under_any_mix_both_floors_hold_and_under_a_fixed_one_the_number_settles() {
+fn floors_hold_under_any_mix_and_the_target_settles_under_a_fixed_load() {
     for seed in 0..500 {
         let mut random = fastrand::Rng::with_seed(seed);
         let engines = random.usize(2..60);
         let mut policy = StagePolicy::new(config());
         let mut prefill = random.usize(0..=engines);
-        let least = (config().floor_share * engines as f64).ceil().max(1.0) as usize;
+        let minimum = (config().floor_share * engines as f64).ceil().max(1.0) as usize;
         let load = |random: &mut fastrand::Rng| ServiceLoad {
-            reading: random.f64() * engines as f64,
-            answering: random.f64() * engines as f64 * 10.0,
+            busy_prefill_engines: random.f64() * engines as f64,
+            concurrent_answers: random.f64() * engines as f64 * 10.0,
         };
         for second in 0..120 {
             policy.observe(&service(), load(&mut random), START + Duration::from_secs(second));
-            if let Some(wanted) = wanted(&policy, prefill, engines - prefill) {
-                assert!((least..=engines - least).contains(&wanted), "seed {seed}: {wanted} of {engines}");
-                prefill = wanted;
+            if let Some(target) = target_prefill(&policy, prefill, engines - prefill) {
+                assert!((minimum..=engines - minimum).contains(&target), "seed {seed}: {target} of {engines}");
+                prefill = target;
             }
         }
         let fixed = load(&mut random);
         let mut changed_at = 0;
         for second in 120..3_000 {
             policy.observe(&service(), fixed, START + Duration::from_secs(second));
-            if let Some(wanted) = wanted(&policy, prefill, engines - prefill).filter(|wanted| *wanted != prefill) {
-                (prefill, changed_at) = (wanted, second);
+            if let Some(target) =
+                target_prefill(&policy, prefill, engines - prefill).filter(|target| *target != prefill)
+            {
+                (prefill, changed_at) = (target, second);
             }
         }
-        // What was seen before counts a 256th by then.
+        // The earlier load has decayed to a 256th by then.
         let settled = 120 + 8 * config().memory_seconds as u64;
         assert!(changed_at < settled, "seed {seed}: changed at {changed_at} under a fixed load");
     }
 }
 
 #[test]
-fn values_that_cannot_be_reckoned_with_are_refused() {
-    let wrong = [
+fn values_out_of_range_are_rejected() {
+    let invalid = [
         StagePolicyConfig { prefill_share: 1.5, ..config() },
         StagePolicyConfig { reading_utilization: 0.0, ..config() },
         StagePolicyConfig { answering_utilization: f64::NAN, ..config() },
@@ -124,30 +130,30 @@
         StagePolicyConfig { change_minimum_share: 2.0, ..config() },
         StagePolicyConfig { dwell_seconds: -1.0, ..config() },
     ];
-    assert!(wrong.iter().all(|config| config.validate().is_err()));
+    assert!(invalid.iter().all(|config| config.validate().is_err()));
     assert_eq!(config().validate(), Ok(()));
 }
 
 #[test]
-fn all_nodes_with_the_same_peers_name_the_same_deciders() {
+fn nodes_with_the_same_peers_select_the_same_candidates() {
     let address = |number: u8| Address(std::net::SocketAddr::from(([10, 0, 0, number], 8_000)));
     let nodes: Vec<Address> = (1..=20).map(address).collect();
-    let of = |own: Address| {
+    let candidates_of = |own: Address| {
         let peers: Vec<Address> = nodes.iter().copied().filter(|node| *node != own).collect();
         candidates(own, &peers)
     };
-    assert!(nodes.iter().all(|node| of(*node) == of(nodes[0])));
-    assert_eq!(of(nodes[0]).len(), 2);
+    assert!(nodes.iter().all(|node| candidates_of(*node) == candidates_of(nodes[0])));
+    assert_eq!(candidates_of(nodes[0]).len(), 2);
     assert_eq!(candidates(nodes[0], &[]), vec![nodes[0]]);
 }
 
 #[test]
-fn a_system_that_starts_for_the_first_time_goes_by_the_plan_until_a_load_was_seen() {
+fn a_new_system_uses_the_configured_share_until_a_load_is_observed() {
     let counts = StageCounts { prefill: 4, decode: 16, slots: 10 };
-    let planned = (config().prefill_share * 20.0).round() as usize;
+    let configured = (config().prefill_share * 20.0).round() as usize;
     let decided = |policy: &StagePolicy, is_first| policy.decide(&service(), counts, is_first).map(|it| it.prefill);
-    assert_eq!(decided(&StagePolicy::new(config()), true), Some(planned));
+    assert_eq!(decided(&StagePolicy::new(config()), true), Some(configured));
     assert_eq!(decided(&StagePolicy::new(config()), false), None);
-    let policy = after(ServiceLoad { reading: 7.0, answering: 60.0 });
+    let policy = policy_after(ServiceLoad { busy_prefill_engines: 7.0, concurrent_answers: 60.0 });
     assert_eq!(decided(&policy, true), Some(10));
 }
--- a/crates/relay/src/control/duties/fleet_duty.rs
+++ b/crates/relay/src/control/duties/fleet_duty.rs
@@ -1,4 +1,4 @@
-//! The duty of ordering how many engines there are.
+//! The duty of ordering the number of engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,30 +22,30 @@
 use crate::metrics::RelayMetrics;
 use crate::protocol::{ControlStore, DutyReceiver, DutyRight, StoreError, WriteEnd};
 
-/// Engines are ordered on a directory that was confirmed within this time only.
-const DIRECTORY_FRESH: Duration = Duration::from_secs(2);
+/// Engines are ordered only on a directory that was confirmed within this time.
+const DIRECTORY_AGE_MAXIMUM: Duration = Duration::from_secs(2);
 
-/// The engines of a service are counted as its size once their number has stood for so long: while a system starts, they
-/// come one after the other.
-const SIZE_STANDS: Duration = Duration::from_millis(800);
+/// The number of a service's engines is taken as its size once it has been stable for this time: while a system starts,
+/// engines appear one after the other.
+const SIZE_STABLE_TIME: Duration = Duration::from_millis(800);
 
-/// What the duty is given.
+/// Dependencies of [`FleetDuty`].
 pub struct FleetDutyParts<S, D> {
     /// The node's name.
     pub node: NodeName,
     /// The store.
     pub store: S,
-    /// What takes orders.
+    /// Receiver of orders.
     pub receiver: D,
-    /// How the number of engines is decided.
+    /// The policy for the number of engines.
     pub policy: FleetPolicyConfig,
     /// The node's clock.
     pub clock: Clock,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: RelayMetrics,
 }
 
-/// The duty at this node.
+/// The fleet duty of this node.
 pub struct FleetDuty<S, D> {
     node: NodeName,
     store: S,
@@ -53,16 +53,16 @@
     policy: FleetPolicy,
     clock: Clock,
     metrics: RelayMetrics,
-    /// What services were sized for, and the era of the store that is known to keep it.
+    /// The size of each service, and the era of the store that is known to hold it.
     baselines: BTreeMap<ServiceName, (FleetBaseline, StoreEra)>,
-    /// The engines that a service without a baseline was last seen with, and since when.
+    /// The last observed number of engines of each service without a baseline, and since when.
     sizes: BTreeMap<ServiceName, (u32, Timestamp)>,
     orders: FleetOrders,
     pacing: Pacing,
 }
 
 impl<S: ControlStore, D: DutyReceiver> FleetDuty<S, D> {
-    /// The duty at a node that has just started.
+    /// Creates the duty of a node that has just started.
     pub fn new(parts: FleetDutyParts<S, D>) -> Self {
         let FleetDutyParts { node, store, receiver, policy, clock, metrics } = parts;
         FleetDuty {
@@ -79,22 +79,22 @@
         }
     }
 
-    /// Goes by other limits from now on.
+    /// Replaces the policy limits.
     pub fn set_config(&mut self, policy: FleetPolicyConfig) {
         self.policy = FleetPolicy::new(policy);
     }
 
-    /// Notes that another node may hold the lease.
+    /// Records that another node may hold the lease.
     pub fn hand_over(&mut self) {
         self.orders.hand_over();
     }
 
-    /// The orders that are due, for which the lease is needed. `is_serving` tells that requests are under way, so that
-    /// nothing may go before its replacement is there.
+    /// The orders that are due; sending them requires the lease. `is_serving` means that requests are in progress, so
+    /// that no engine may be removed before its replacement is present.
     pub async fn due(&mut self, knowledge: &Knowledge, is_serving: bool) -> Vec<FleetOrder> {
         let now = self.clock.now();
-        let is_fresh = knowledge.directory_confirmed_at.is_some_and(|at| now.since(at) < DIRECTORY_FRESH);
-        if !self.policy.is_enabled() || !is_fresh || self.pacing.pauses(now) {
+        let is_fresh = knowledge.directory_confirmed_at.is_some_and(|at| now.since(at) < DIRECTORY_AGE_MAXIMUM);
+        if !self.policy.is_enabled() || !is_fresh || self.pacing.is_waiting(now) {
             return Vec::new();
         }
         let Some(active) = knowledge.configuration.clone() else {
@@ -128,8 +128,8 @@
         self.orders.due(&service.name, &plan, &present, limits.boot_time, is_serving, now)
     }
 
-    /// What `service` was sized for, as the store keeps it: a holder that comes later sees engines that were ordered. In another `era` the
-    /// store may have lost it.
+    /// The size of `service` as the store holds it, because a later holder also sees engines that were ordered. In
+    /// another `era` the store may have lost it.
     async fn baseline(
         &mut self,
         service: &ServiceName,
@@ -139,48 +139,49 @@
     ) -> Option<FleetBaseline> {
         let known = self.baselines.get(service).copied();
         match known {
-            Some((baseline, kept_in)) if kept_in >= era => Some(baseline),
-            Some((baseline, _)) => self.keep(service, baseline).await.or(Some(baseline)),
+            Some((baseline, stored_in)) if stored_in >= era => Some(baseline),
+            Some((baseline, _)) => self.read_or_store(service, baseline).await.or(Some(baseline)),
             None => {
-                let engines = self.standing_size(service, present, now)?;
-                self.keep(service, FleetBaseline { engines }).await
+                let engines = self.stable_size(service, present, now)?;
+                self.read_or_store(service, FleetBaseline { engines }).await
             }
         }
     }
 
-    /// The number of engines of `service`, once it has stood for some time.
-    fn standing_size(&mut self, service: &ServiceName, present: &FleetPlan, now: Timestamp) -> Option<u32> {
+    /// The number of engines of `service`, once it has been stable for [`SIZE_STABLE_TIME`].
+    fn stable_size(&mut self, service: &ServiceName, present: &FleetPlan, now: Timestamp) -> Option<u32> {
         let engines: u32 = present.values().map(|zone| zone.on_demand + zone.preemptible).sum();
         let size = self.sizes.entry(service.clone()).or_insert((engines, now));
         if size.0 != engines {
             *size = (engines, now);
         }
-        (engines > 0 && now.since(size.1) >= SIZE_STANDS).then_some(engines)
+        (engines > 0 && now.since(size.1) >= SIZE_STABLE_TIME).then_some(engines)
     }
 
-    /// What the store keeps of `service`'s size; `own` where it keeps nothing, which is kept from now on.
-    async fn keep(&mut self, service: &ServiceName, own: FleetBaseline) -> Option<FleetBaseline> {
-        let kept = match self.store.read_baseline(service).await {
-            Ok(kept) => kept,
+    /// The stored size of `service`; stores and returns `proposed` if there is none.
+    async fn read_or_store(&mut self, service: &ServiceName, proposed: FleetBaseline) -> Option<FleetBaseline> {
+        let stored = match self.store.read_baseline(service).await {
+            Ok(stored) => stored,
             Err(error) => return self.failed("fleet_read", &error),
         };
-        let baseline = match kept.baseline {
+        let baseline = match stored.baseline {
             Some(baseline) => baseline,
             None => {
-                if kept.version.revision.is_some() {
-                    let (engines, consequence) = (own.engines, "the service is sized for so many engines");
+                if stored.version.revision.is_some() {
+                    let (engines, consequence) =
+                        (proposed.engines, "the present number of engines becomes the size of the service");
                     log::error!(event = "fleet_size_spoiled", service:% = service, engines, consequence; "");
                 }
-                match self.store.keep_baseline(service, own, kept.version).await {
-                    Ok(WriteEnd::Written(_)) => own,
-                    // Another node has kept one meanwhile, which is read at the next step.
+                match self.store.keep_baseline(service, proposed, stored.version).await {
+                    Ok(WriteEnd::Written(_)) => proposed,
+                    // Another node has stored a size in the meantime, which is read in the next step.
                     Ok(WriteEnd::Conflict) => return None,
                     Err(error) => return self.failed("fleet_write", &error),
                 }
             }
         };
-        let era = kept.version.era;
-        log::info!(event = "fleet_size", service:% = service, engines = baseline.engines, is_kept = kept.baseline.is_some(), era = era.number(); "");
+        let era = stored.version.era;
+        log::info!(event = "fleet_size", service:% = service, engines = baseline.engines, is_kept = stored.baseline.is_some(), era = era.number(); "");
         self.baselines.insert(service.clone(), (baseline, era));
         Some(baseline)
     }
@@ -197,39 +198,40 @@
         self.orders.has_refused()
     }
 
-    /// Gives orders, as the holder of the lease under `term`.
+    /// Sends the `due` orders as the holder of the lease under `term`.
     pub async fn act(&mut self, lease: &mut LeaseKeeper<S>, term: Term, due: Vec<FleetOrder>) {
         for (service, zone, kind) in self.orders.renewed(term, self.clock.now()) {
             let kind = kind.code();
             log::info!(event = "fleet_scarce", service:% = service, zone:% = zone, kind; "");
         }
         for order in due {
-            // Looked at last: a process that was paused, or waited for an answer, may have lost the lease meanwhile.
+            // Checked last: the process may have lost the lease while it was paused or waiting for an answer.
             if lease.order_until().is_none_or(|until| self.clock.now() >= until) {
                 return;
             }
             let right = DutyRight { holder: &self.node, term, time_limit: lease.order_time_limit() };
             let answer = self.receiver.order_fleet(&right, &order).await;
-            self.note_answer(&order, term, answer, lease);
+            self.record_answer(&order, term, answer, lease);
         }
     }
 
-    fn note_answer(&mut self, order: &FleetOrder, term: Term, answer: DutyAnswer, lease: &mut LeaseKeeper<S>) {
+    fn record_answer(&mut self, order: &FleetOrder, term: Term, answer: DutyAnswer, lease: &mut LeaseKeeper<S>) {
         let (kind, engines, code) = (order.kind.code(), order.engines, answer.code());
         let (service, zone) = (&order.service, &order.zone);
         log::info!(event = "fleet_ordered", service:% = service, zone:% = zone, kind, engines, term = term.0, answer = code; "");
         self.metrics.record_duty_call("fleet", code);
         self.orders.answered(order, term, answer, self.clock.now());
         match answer {
-            // It may be a higher term that was seen. The lease shows it: nothing is ordered before it is renewed.
-            DutyAnswer::Conflict | DutyAnswer::Unknown => lease.doubt(),
+            // The receiver may have seen a higher term. The lease shows whether it has: nothing is ordered before it is
+            // renewed.
+            DutyAnswer::Conflict | DutyAnswer::Unknown => lease.suspend_orders(),
             DutyAnswer::Throttled | DutyAnswer::NotSent => drop(self.pacing.failed(self.clock.now())),
             DutyAnswer::Taken | DutyAnswer::NotUnderstood => self.pacing.succeeded(),
         }
     }
 }
 
-/// The engines of `service` that may be used, by zone.
+/// The usable engines of `service` by zone.
 fn present_of(knowledge: &Knowledge, service: &ServiceName, now: Timestamp) -> FleetPlan {
     let mut present = FleetPlan::new();
     let usable = knowledge.directory.of_service(service).filter(|entry| entry.usability(now) == Usability::Usable);
--- a/crates/relay/src/control/duties/holder.rs
+++ b/crates/relay/src/control/duties/holder.rs
@@ -1,4 +1,4 @@
-//! The task that does the duties: every node tells the candidates what it has seen, one of them holds the lease and acts.
+//! The task that performs duties: every node reports to the candidates, one of which holds the lease and acts.
 
 use std::time::Duration;
 
@@ -15,56 +15,57 @@
 use crate::back_ends::SharedNotices;
 use crate::control::learner::Learner;
 use crate::control::peers::PeerExchange;
-use crate::control::stages::{Steering, SteeringParts};
+use crate::control::stages::{StageController, StageControllerParts};
 use crate::demand::SharedDemand;
 use crate::metrics::RelayMetrics;
 use crate::protocol::{ControlStore, DutyReceiver, Protocol};
 use crate::usage::SharedUsage;
 
-/// How often a node looks what there is to do.
-const STEP: Duration = Duration::from_millis(200);
+/// Interval between two steps of the task.
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A node does no duty for this time after its start: it has to hear of its peers, who may be at it.
-const SETTLING: Duration = Duration::from_secs(3);
+/// A node performs no duties for this time after its start: it has to learn of its peers first, one of which may be
+/// performing them.
+const STARTUP_DELAY: Duration = Duration::from_secs(3);
 
-/// Requests are under way while demand was reported within this time: some times the pause between reports.
-const DEMAND_RECENT: Duration = Duration::from_secs(5);
+/// Requests count as in progress if demand was reported within this time: a few times the interval between reports.
+const DEMAND_AGE_MAXIMUM: Duration = Duration::from_secs(5);
 
-/// What the task is given.
+/// Dependencies of [`Duties`].
 pub struct DutyParts<P, S, D> {
     /// The node's name.
     pub node: NodeName,
-    /// Where peers reach this node; names it among them.
+    /// The node's peer address, which identifies it among its peers.
     pub own: Address,
-    /// Its settings, which a reload may change.
+    /// The settings of duties, which a reload may change.
     pub settings: watch::Receiver<DutySettings>,
-    /// What engines speak.
+    /// Protocol of the engines.
     pub protocol: P,
     /// The store.
     pub store: S,
-    /// What takes the calls of duties; `None`: there are none.
+    /// Receiver of the calls of duties; `None` if there is none.
     pub receiver: Option<D>,
-    /// What this node's callers ask for.
+    /// Demand of this node's callers.
     pub demand: SharedDemand,
-    /// What this node's callers have used.
+    /// Usage of this node's callers.
     pub usage: SharedUsage,
-    /// What back ends have said of themselves in answers.
+    /// Notices that back ends sent with their answers.
     pub notices: SharedNotices,
-    /// What the node knows.
+    /// State that the node has learned.
     pub learner: Learner,
     /// The exchange with peers.
     pub peers: PeerExchange,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: RelayMetrics,
 }
 
-/// The duties at this node.
+/// The duties of this node.
 pub struct Duties<P, S, D> {
     own: Address,
     settings: watch::Receiver<DutySettings>,
     lease: LeaseKeeper<S>,
     watch: HolderWatch,
-    steering: Steering<P>,
+    stage_controller: StageController<P>,
     usage: Option<UsageDuty<S, D>>,
     fleet: Option<FleetDuty<S, D>>,
     learner: Learner,
@@ -74,7 +75,7 @@
 }
 
 impl<P: Protocol, S: ControlStore, D: DutyReceiver> Duties<P, S, D> {
-    /// The duties at a node that has just started.
+    /// Creates the duties of a node that has just started.
     pub fn new(parts: DutyParts<P, S, D>) -> Self {
         let DutyParts {
             node,
@@ -117,7 +118,7 @@
                 metrics: metrics.clone(),
             })
         });
-        let steering = Steering::new(SteeringParts {
+        let stage_controller = StageController::new(StageControllerParts {
             node,
             own,
             life,
@@ -134,7 +135,7 @@
             settings,
             lease: LeaseKeeper::new(lease, store, learner.clone(), metrics),
             watch: HolderWatch::new(HolderWatchConfig::default(), own),
-            steering,
+            stage_controller,
             usage,
             fleet,
             learner,
@@ -144,15 +145,15 @@
         }
     }
 
-    /// Does the duties for ever.
+    /// Performs the duties forever.
     pub async fn run(mut self) {
-        let mut ticks = interval(STEP);
+        let mut ticks = interval(STEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             if self.settings.has_changed().unwrap_or(false) {
                 let settings = *self.settings.borrow_and_update();
-                self.steering.set_config(settings.stages);
+                self.stage_controller.set_config(settings.stages);
                 if let Some(fleet) = &mut self.fleet {
                     fleet.set_config(settings.fleet);
                 }
@@ -165,31 +166,31 @@
         let now = self.learner.clock().now();
         let usage_config = self.settings.borrow().usage;
         let candidates = candidates(self.own, &self.peers.recent(now));
-        self.steering.report(&candidates).await;
+        self.stage_controller.report(&candidates).await;
         if let (Some(usage), Some(config)) = (&mut self.usage, &usage_config) {
-            usage.tell(&candidates, config).await;
+            usage.send_counts(&candidates, config).await;
         }
         let acts = self.is_to_act(&candidates, now);
-        self.note_acting(acts);
+        self.update_acting(acts);
         let knowledge = self.learner.knowledge();
-        let stages_wanted = self.steering.prepare(&knowledge, acts, &mut self.lease).await;
+        let stage_work = self.stage_controller.prepare(&knowledge, acts, &mut self.lease).await;
         if !acts {
             return;
         }
         let last_demand = self.peers.demand().borrow().last_demand();
-        let is_serving = last_demand.is_some_and(|last| now.since(last) < DEMAND_RECENT);
+        let is_serving = last_demand.is_some_and(|last| now.since(last) < DEMAND_AGE_MAXIMUM);
         let fleet_due = match &mut self.fleet {
             Some(fleet) => fleet.due(&knowledge, is_serving).await,
             None => Vec::new(),
         };
-        let is_open = self.fleet.as_ref().is_some_and(FleetDuty::has_refused);
+        let has_refused_orders = self.fleet.as_ref().is_some_and(FleetDuty::has_refused);
         let usage_config = usage_config.filter(|config| self.usage.as_ref().is_some_and(|usage| usage.is_due(config)));
-        let is_needed = stages_wanted.is_needed() || usage_config.is_some() || !fleet_due.is_empty() || is_open;
+        let is_needed = stage_work.is_needed() || usage_config.is_some() || !fleet_due.is_empty() || has_refused_orders;
         let term = if is_needed { self.lease.authority().await } else { None };
         if let (Some(term), Some(fleet)) = (term, &mut self.fleet) {
             fleet.act(&mut self.lease, term, fleet_due).await;
         }
-        self.steering.act(&knowledge, stages_wanted, term, &mut self.lease).await;
+        self.stage_controller.act(&knowledge, stage_work, term, &mut self.lease).await;
         if let (Some(term), Some(usage), Some(config)) = (term, &mut self.usage, &usage_config) {
             usage.act(&mut self.lease, term, config).await;
         }
@@ -198,26 +199,26 @@
     fn is_to_act(&mut self, candidates: &[Address], now: Timestamp) -> bool {
         let demand = self.peers.demand();
         let holds = self.lease.term().is_some();
-        let heard_at = |candidate| demand.borrow().heard_at(candidate);
-        let is_to_act = self.watch.should_act(candidates, holds, heard_at, now);
-        is_to_act && now.since(self.started) >= SETTLING
+        let last_report_at = |candidate| demand.borrow().last_report_at(candidate);
+        let is_to_act = self.watch.should_act(candidates, holds, last_report_at, now);
+        is_to_act && now.since(self.started) >= STARTUP_DELAY
     }
 
-    fn note_acting(&mut self, acts: bool) {
+    fn update_acting(&mut self, acts: bool) {
         if self.acts == acts {
             return;
         }
         self.acts = acts;
         log::info!(event = "duties_holder", acts; "");
         if !acts {
-            self.steering.hand_over();
+            self.stage_controller.hand_over();
             if let Some(usage) = &mut self.usage {
                 usage.hand_over();
             }
             if let Some(fleet) = &mut self.fleet {
                 fleet.hand_over();
             }
-            self.lease.doubt();
+            self.lease.suspend_orders();
         }
     }
 }
--- a/crates/relay/src/control/duties/lease_keeper.rs
+++ b/crates/relay/src/control/duties/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! The lease that duties need, with the calls to the store that keep it.
+//! The lease that duties require, and the store calls that acquire and renew it.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use crate::metrics::RelayMetrics;
 use crate::protocol::{ControlStore, StoreError, WriteEnd};
 
-/// The calls that one attempt makes at most: a read, and the write that it leads to.
+/// Maximum number of calls in one attempt: a read, and the write that follows from it.
 const CALLS_MAXIMUM: usize = 2;
 
-/// This node's part in the lease. Nothing is read or written unless something is to be ordered.
+/// Acquires and renews the lease for this node. Nothing is read or written unless there is something to order.
 pub struct LeaseKeeper<S> {
     lease: Lease,
     store: S,
@@ -26,14 +26,14 @@
 }
 
 impl<S: ControlStore> LeaseKeeper<S> {
-    /// The part of a node that has not read the lease yet.
+    /// Creates the keeper of a node that has not read the lease yet.
     pub fn new(lease: Lease, store: S, learner: Learner, metrics: RelayMetrics) -> Self {
         LeaseKeeper { lease, store, clock: learner.clock(), learner, metrics, pacing: Pacing::default() }
     }
 
-    /// The term under which this node may order now; takes a step towards it where it has none.
+    /// The term under which this node may order now; tries to acquire one if there is none.
     pub async fn authority(&mut self) -> Option<Term> {
-        if self.pauses() {
+        if self.is_backing_off() {
             return None;
         }
         for _ in 0..CALLS_MAXIMUM {
@@ -47,63 +47,63 @@
         self.lease.may_order(self.clock.now())
     }
 
-    /// Whether nobody has ever held the lease; `None` while that can't be read.
+    /// Whether no node has ever held the lease; `None` while that can't be read.
     pub async fn is_unclaimed(&mut self) -> Option<bool> {
-        if self.lease.is_unclaimed().is_none() && !self.pauses() {
+        if self.lease.is_unclaimed().is_none() && !self.is_backing_off() {
             self.read().await?;
         }
         self.lease.is_unclaimed()
     }
 
-    /// The term that this node holds or held last; `None` when another one holds the lease.
+    /// The term that this node holds or held last; `None` if another node holds the lease.
     pub fn term(&self) -> Option<Term> {
         self.lease.term()
     }
 
-    /// How this process came to the lease the last time.
+    /// How this process last acquired the lease.
     pub fn succession(&self) -> Succession {
         self.lease.succession()
     }
 
-    /// The moment from which on nothing may be ordered any more unless the lease is renewed before.
+    /// Time from which nothing may be ordered unless the lease is renewed before.
     pub fn order_until(&self) -> Option<Timestamp> {
         self.lease.order_until()
     }
 
-    /// The longest that an order may be on its way.
+    /// Time limit for an order and its answer.
     pub fn order_time_limit(&self) -> Duration {
         self.lease.config().order_time_limit
     }
 
-    /// Notes that a higher term than `term` was seen: it is never used again.
+    /// Records that a higher term than `term` was observed, so that `term` is never used again.
     pub fn fenced(&mut self, term: Term) {
         self.lease.fenced(term);
     }
 
-    /// Orders nothing before the lease has been read and renewed.
-    pub fn doubt(&mut self) {
+    /// Suspends orders until the lease has been read and renewed.
+    pub fn suspend_orders(&mut self) {
         self.lease.require_reread();
     }
 
-    fn pauses(&self) -> bool {
-        self.pacing.pauses(self.clock.now())
+    fn is_backing_off(&self) -> bool {
+        self.pacing.is_waiting(self.clock.now())
     }
 
     async fn read(&mut self) -> Option<()> {
         match self.store.read_lease().await {
             Ok(read) => {
                 self.metrics.record_store_call("lease_read", "ok");
-                let spoiled_before = self.lease.malformed_at();
+                let malformed_before = self.lease.malformed_at();
                 let era = read.version.era;
                 self.learner.observe_era(era);
                 if let Some(since) = self.learner.era_known_since(era) {
                     self.lease.record_era(era, since);
                 }
                 self.lease.observe(read.record, read.version, self.clock.now());
-                let spoiled = self.lease.malformed_at();
-                if spoiled.is_some() && spoiled != spoiled_before {
+                let malformed = self.lease.malformed_at();
+                if malformed.is_some() && malformed != malformed_before {
                     let pause_ms = whole_millis(self.lease.config().takeover_delay());
-                    log::warn!(event = "duty_lease_unknown", call = "lease_read", error = "the lease was spoiled", pause_ms; "");
+                    log::warn!(event = "duty_lease_unknown", call = "lease_read", error = "the lease record is malformed", pause_ms; "");
                 }
                 Some(())
             }
@@ -132,7 +132,7 @@
                 None
             }
             Err(StoreError::PreviousEra) => {
-                // It is known to count for nothing, so there is nothing to wait for.
+                // The write is known to have no effect, so there is nothing to wait for.
                 self.metrics.record_store_call("lease_write", "former_era");
                 log::info!(event = "duty_lease_of_former_era", term = write.record.term.0; "");
                 self.lease.require_reread();
--- a/crates/relay/src/control/duties/mod.rs
+++ b/crates/relay/src/control/duties/mod.rs
@@ -1,4 +1,4 @@
-//! Duties: what one node does for all, under a lease in the store.
+//! Duties: tasks that one node performs for the whole system, under a lease in the store.
 
 mod fleet_duty;
 mod holder;
--- a/crates/relay/src/control/duties/pacing.rs
+++ b/crates/relay/src/control/duties/pacing.rs
@@ -1,41 +1,41 @@
-//! Pauses between calls that fail.
+//! Backoff between failed calls.
 
 use std::time::Duration;
 
 use havengate_core::time::Timestamp;
 
-/// The pause after a first failure, doubled with each further one up to the maximum.
+/// Pause after the first failure; each further failure doubles it, up to the maximum.
 const PAUSE_MINIMUM: Duration = Duration::from_millis(400);
 const PAUSE_MAXIMUM: Duration = Duration::from_secs(1);
 
-/// When a call that failed is made again.
+/// Schedules the retry of a failed call.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacing {
     pause: Duration,
-    again_at: Option<Timestamp>,
+    retry_at: Option<Timestamp>,
 }
 
 impl Default for Pacing {
     fn default() -> Self {
-        Pacing { pause: PAUSE_MINIMUM, again_at: None }
+        Pacing { pause: PAUSE_MINIMUM, retry_at: None }
     }
 }
 
 impl Pacing {
-    /// Whether nothing is to be called yet.
-    pub fn pauses(&self, now: Timestamp) -> bool {
-        self.again_at.is_some_and(|again_at| now < again_at)
+    /// Whether the next call has to wait.
+    pub fn is_waiting(&self, now: Timestamp) -> bool {
+        self.retry_at.is_some_and(|retry_at| now < retry_at)
     }
 
-    /// Notes a failure, and tells the pause that follows, give or take half.
+    /// Records a failure and returns the pause before the retry, which is randomized by up to half of it.
     pub fn failed(&mut self, now: Timestamp) -> Duration {
         let pause = self.pause;
-        self.again_at = Some(now + pause.mul_f64(0.5 + fastrand::f64()));
+        self.retry_at = Some(now + pause.mul_f64(0.5 + fastrand::f64()));
         self.pause = (2 * pause).min(PAUSE_MAXIMUM);
         pause
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub fn succeeded(&mut self) {
         *self = Pacing::default();
     }
--- a/crates/relay/src/control/duties/settings.rs
+++ b/crates/relay/src/control/duties/settings.rs
@@ -9,24 +9,24 @@
 use havengate_core::stages::StagePolicyConfig;
 use serde::Deserialize;
 
-/// What the control thread is told of duties.
+/// Settings of duties, passed to the control thread.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DutySettings {
-    /// The lease that duties need.
+    /// The lease that duties require.
     pub lease: DutyLeaseSettings,
-    /// How stages are decided.
+    /// The policy that assigns engines to stages.
     pub stages: StagePolicyConfig,
-    /// How usage is reported; `None`: not at all.
+    /// How usage is reported; `None` if it is not reported.
     pub usage: Option<UsageConfig>,
-    /// How the number of engines is decided.
+    /// The policy for the number of engines.
     pub fleet: FleetPolicyConfig,
 }
 
-/// What `[duty_lease]` in the settings holds.
+/// The section `[duty_lease]` of the settings.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct DutyLeaseSettings {
-    /// The time that must lie between the calls and orders of two holders, in milliseconds.
+    /// Minimum time between the calls and orders of two holders, in milliseconds.
     pub hand_over_milliseconds: f64,
 }
 
@@ -37,10 +37,10 @@
 }
 
 impl DutyLeaseSettings {
-    /// What `hand_over_milliseconds` may be.
+    /// Valid range of `hand_over_milliseconds`.
     pub const HAND_OVER_MILLISECONDS: RangeInclusive<f64> = 0.0..=600_000.0;
 
-    /// The times of the lease.
+    /// The lease configuration with this hand-over time.
     pub fn lease(&self) -> LeaseConfig {
         LeaseConfig { hand_over: Duration::from_secs_f64(self.hand_over_milliseconds / 1e3), ..LeaseConfig::default() }
     }
--- a/crates/relay/src/control/duties/usage_duty.rs
+++ b/crates/relay/src/control/duties/usage_duty.rs
@@ -1,4 +1,4 @@
-//! The duty of reporting what tenants have used: every node tells its counts to the candidates, the holder reports.
+//! The duty of reporting the usage of tenants: every node sends its counts to the candidates; the holder reports them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,38 +25,38 @@
 use crate::protocol::{ControlStore, DutyReceiver, DutyRight, StoreError, WriteEnd};
 use crate::usage::SharedUsage;
 
-/// How often a node tells what it has counted: a node that is killed takes no more than this with it.
-const TELL_PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which a node sends its counts. A node that is killed loses no more than the counts of this time.
+const COUNTS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long after its start a candidate asks for all counts: those of its former life were told, and are gone with it.
-const ASKS_FOR: Duration = Duration::from_secs(4);
+/// Time after its start in which a candidate requests all counts: those sent to its previous incarnation are lost.
+const COUNTS_REQUEST_TIME: Duration = Duration::from_secs(4);
 
-/// The steps that are made at most before other duties have their turn: a read, a write, and a report.
-const STEPS_AT_ONCE: usize = 3;
+/// Maximum number of steps before other duties get their turn: a read, a write, and a report.
+const STEPS_MAXIMUM: usize = 3;
 
-/// What the duty is given.
+/// Dependencies of [`UsageDuty`].
 pub struct UsageDutyParts<S, D> {
     /// The node's name.
     pub node: NodeName,
-    /// Where peers reach this node; names it among them.
+    /// The node's peer address, which identifies it among its peers.
     pub own: Address,
-    /// Tells the lives of the node's process apart.
+    /// Distinguishes incarnations of the node's process.
     pub life: u64,
     /// The store.
     pub store: S,
-    /// What takes reports.
+    /// Receiver of reports.
     pub receiver: D,
-    /// What this node's callers have used.
+    /// Usage of this node's callers.
     pub usage: SharedUsage,
     /// The exchange with peers.
     pub peers: PeerExchange,
-    /// What the node knows.
+    /// State that the node has learned.
     pub learner: Learner,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: RelayMetrics,
 }
 
-/// The duty at this node.
+/// The usage duty of this node.
 pub struct UsageDuty<S, D> {
     node: NodeName,
     own: Address,
@@ -69,17 +69,17 @@
     clock: Clock,
     metrics: RelayMetrics,
     table: Rc<RefCell<UsageTable>>,
-    telling: UsageAnnouncements,
+    announcements: UsageAnnouncements,
     reports: UsageReports,
     pacing: Pacing,
     started: Timestamp,
-    told_at: Option<Timestamp>,
-    /// The term under which it was last acted.
+    counts_sent_at: Option<Timestamp>,
+    /// The term under which the duty was last performed.
     term: Term,
 }
 
 impl<S: ControlStore, D: DutyReceiver> UsageDuty<S, D> {
-    /// The duty at a node that has just started.
+    /// Creates the duty of a node that has just started.
     pub fn new(parts: UsageDutyParts<S, D>) -> Self {
         let UsageDutyParts { node, own, life, store, receiver, usage, peers, learner, metrics } = parts;
         let clock = learner.clock();
@@ -95,27 +95,27 @@
             learner,
             clock,
             metrics,
-            telling: UsageAnnouncements::default(),
+            announcements: UsageAnnouncements::default(),
             reports: UsageReports::default(),
             pacing: Pacing::default(),
             started: clock.now(),
-            told_at: None,
+            counts_sent_at: None,
             term: Term(0),
         }
     }
 
-    /// Tells the `candidates`, of which this node may be one, what its callers have used. A candidate that has just started
-    /// asks for what others have told before.
-    pub async fn tell(&mut self, candidates: &[Address], config: &UsageConfig) {
+    /// Sends the usage of this node's callers to the `candidates`, which may include this node. A candidate that has
+    /// just started requests what other nodes have sent before.
+    pub async fn send_counts(&mut self, candidates: &[Address], config: &UsageConfig) {
         let now = self.clock.now();
-        if self.told_at.is_some_and(|at| now.since(at) < TELL_PAUSE) {
+        if self.counts_sent_at.is_some_and(|at| now.since(at) < COUNTS_INTERVAL) {
             return;
         }
-        self.told_at = Some(now);
-        self.forget_what_is_done(config);
-        self.telling.retain_receivers(candidates);
-        for asking in self.peers.take_usage_wanted() {
-            self.telling.forget(asking);
+        self.counts_sent_at = Some(now);
+        self.forget_completed_windows(config);
+        self.announcements.retain_receivers(candidates);
+        for requester in self.peers.take_usage_wanted() {
+            self.announcements.forget(requester);
         }
         for candidate in candidates {
             for message in self.messages_for(*candidate, config) {
@@ -126,7 +126,7 @@
                 }
             }
         }
-        if candidates.contains(&self.own) && now.since(self.started) < ASKS_FOR {
+        if candidates.contains(&self.own) && now.since(self.started) < COUNTS_REQUEST_TIME {
             let others = self.peers.recent(now);
             self.peers.send_to(&PeerMessage::UsageWanted(self.own), &others).await;
         }
@@ -134,9 +134,9 @@
 
     fn messages_for(&mut self, candidate: Address, config: &UsageConfig) -> Vec<UsageCountsMessage> {
         let true_time = self.usage.true_time();
-        let (sender, incarnation, telling) = (self.own, self.life, &mut self.telling);
+        let (sender, incarnation, announcements) = (self.own, self.life, &mut self.announcements);
         self.usage.with_counts(|counts| {
-            let due = telling.due(candidate, counts, config, true_time);
+            let due = announcements.due(candidate, counts, config, true_time);
             let windows = counts.windows().filter(|(window, _)| due.contains(window));
             let message = |(window, counts): (WindowNumber, &BTreeMap<TenantName, u32>)| {
                 let counts = counts.iter().map(|(tenant, count)| (tenant.clone(), *count)).collect();
@@ -146,18 +146,18 @@
         })
     }
 
-    fn forget_what_is_done(&mut self, config: &UsageConfig) {
+    fn forget_completed_windows(&mut self, config: &UsageConfig) {
         let first_kept = config.first_kept(self.usage.true_time());
         let first = self.reports.first_needed().map_or(first_kept, |needed| needed.max(first_kept));
         self.table.borrow_mut().forget_before(first);
     }
 
-    /// Whether something is to be read, written or reported, for which the lease is needed.
+    /// Whether there is something to read, write or report, which requires the lease.
     pub fn is_due(&self, config: &UsageConfig) -> bool {
-        !self.pacing.pauses(self.clock.now()) && self.next(config) != UsageStep::Idle
+        !self.pacing.is_waiting(self.clock.now()) && self.next(config) != UsageStep::Idle
     }
 
-    /// Notes that another node may hold the lease.
+    /// Records that another node may hold the lease.
     pub fn hand_over(&mut self) {
         self.reports.hand_over();
     }
@@ -166,7 +166,7 @@
         self.reports.step(config, &self.table.borrow(), self.usage.true_time())
     }
 
-    /// Does what is due, as the holder of the lease under `term`.
+    /// Performs the steps that are due, as the holder of the lease under `term`.
     pub async fn act(&mut self, lease: &mut LeaseKeeper<S>, term: Term, config: &UsageConfig) {
         if self.term != term {
             self.term = term;
@@ -174,8 +174,8 @@
                 self.reports.hand_over();
             }
         }
-        for _ in 0..STEPS_AT_ONCE {
-            if self.pacing.pauses(self.clock.now()) {
+        for _ in 0..STEPS_MAXIMUM {
+            if self.pacing.is_waiting(self.clock.now()) {
                 return;
             }
             match self.next(config) {
@@ -194,7 +194,7 @@
                 self.pacing.succeeded();
                 match read.ledger {
                     Some(ledger) => self.observe(ledger, read.version, succession, config),
-                    None => self.begin_anew(read.version, config),
+                    None => self.start_new_ledger(read.version, config),
                 }
             }
             Err(error) => self.failed("usage_read", &error),
@@ -204,8 +204,8 @@
     fn observe(&mut self, ledger: UsageLedger, version: ObjectVersion, succession: Succession, config: &UsageConfig) {
         let now = self.clock.now();
         let era_since = self.learner.era_known_since(version.era).unwrap_or(now);
-        // The first holder of an era may report what began in it. Where the ledger of a later one is of a former era, a late write of
-        // that has replaced what holders of this one have left.
+        // The first holder of an era may report windows that began in it. If a later holder finds a ledger of a
+        // previous era, a late write from that era has replaced the ledger of this era's holders.
         let known_for = if succession == Succession::Began { now.since(era_since) } else { Duration::ZERO };
         let unreported = config.first_unreported(self.usage.true_time().saturating_sub(known_for));
         let (era, ledger_era) = (version.era.number(), ledger.era.number());
@@ -214,10 +214,10 @@
         }
     }
 
-    /// Goes on without the reports that another writer has spoiled.
-    fn begin_anew(&mut self, version: ObjectVersion, config: &UsageConfig) {
+    /// Starts a new ledger, without the reports of the stored one, because another writer has left it malformed.
+    fn start_new_ledger(&mut self, version: ObjectVersion, config: &UsageConfig) {
         let first = config.first_unreported(self.usage.true_time());
-        log::error!(event = "usage_begun_anew", first_window = first.0, consequence = "the windows before are not reported"; "");
+        log::error!(event = "usage_begun_anew", first_window = first.0, consequence = "earlier windows are not reported"; "");
         self.reports.start_new_ledger(version, first);
     }
 
@@ -248,7 +248,7 @@
     }
 
     async fn send(&mut self, lease: &mut LeaseKeeper<S>, term: Term, report: UsageReport, config: &UsageConfig) {
-        // Looked at last: a process that was paused, or waited for the store, may have lost the lease meanwhile.
+        // Checked last: the process may have lost the lease while it was paused or waiting for the store.
         if lease.order_until().is_none_or(|until| self.clock.now() >= until) {
             return;
         }
@@ -269,11 +269,12 @@
                 self.pacing.succeeded();
                 return;
             }
-            // The same bytes would be refused again; those of the next window need not be.
+            // The same bytes would be refused again; those of the next window may be accepted.
             DutyAnswer::NotUnderstood => self.reports.settle(window),
             DutyAnswer::Conflict => lease.fenced(term),
-            // It may come to pass, which does no harm: the same bytes are sent again, once the lease was renewed.
-            DutyAnswer::Unknown => lease.doubt(),
+            // The report may still take effect, which is harmless: the same bytes are sent again once the lease is
+            // renewed.
+            DutyAnswer::Unknown => lease.suspend_orders(),
             DutyAnswer::Throttled | DutyAnswer::NotSent => {}
         }
         self.pacing.failed(self.clock.now());
--- a/crates/relay/src/control/stages/decisions.rs
+++ b/crates/relay/src/control/stages/decisions.rs
@@ -1,4 +1,4 @@
-//! How many engines of each service are to read, as the policy decides on what all nodes ask for.
+//! Decides how many engines of each service run prefill, from the policy and the demand of all nodes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,43 +14,43 @@
 
 use crate::knowledge::Knowledge;
 
-/// A service whose engines are to change.
-pub struct WantedStages {
+/// A service whose engines have to change their stage.
+pub struct RequiredChange {
     /// The service.
     pub service: ServiceName,
-    /// Its engines that may be used.
+    /// Its usable engines.
     pub engines: Vec<StagedEngine>,
-    /// The prefill engines that are wanted among them.
+    /// Target number of prefill engines among them.
     pub prefill: usize,
 }
 
-/// The decisions of this node, while it is the one that decides.
+/// Stage decisions of this node while it is the one that decides.
 pub struct Decisions {
     table: Rc<RefCell<DemandTable>>,
     policy: StagePolicy,
-    /// The prefill engines that were wanted when a decision was logged last.
+    /// Target number of prefill engines in the last logged decision.
     logged: BTreeMap<ServiceName, usize>,
-    /// Since when another number of prefill engines was wanted than there are.
-    wanted_since: BTreeMap<ServiceName, Timestamp>,
+    /// Since when the target has differed from the present number of prefill engines.
+    differs_since: BTreeMap<ServiceName, Timestamp>,
 }
 
 impl Decisions {
-    /// The decisions of a node that has seen no load, on what `table` shows.
+    /// Creates the decisions of a node without observed load, on the demand in `table`.
     pub fn new(table: Rc<RefCell<DemandTable>>, config: StagePolicyConfig) -> Self {
-        Decisions { table, policy: StagePolicy::new(config), logged: BTreeMap::new(), wanted_since: BTreeMap::new() }
+        Decisions { table, policy: StagePolicy::new(config), logged: BTreeMap::new(), differs_since: BTreeMap::new() }
     }
 
-    /// Goes by other limits from now on.
+    /// Replaces the policy limits.
     pub fn set_config(&mut self, config: StagePolicyConfig) {
         self.policy.set_config(config);
     }
 
-    /// Whether anything is decided at all.
+    /// Whether a policy other than `none` is configured.
     pub fn has_policy(&self) -> bool {
         self.policy.config().policy != StagePolicyName::None
     }
 
-    /// Takes in the loads of spans that have ended.
+    /// Passes the loads of completed spans to the policy.
     pub fn take_loads(&mut self, now: Timestamp) {
         let mut table = self.table.borrow_mut();
         table.tick(now);
@@ -59,33 +59,35 @@
         }
     }
 
-    /// Forgets what was decided: another node decides from now on. What was seen of the load is kept.
+    /// Discards the decisions because another node decides from now on. The observed load is kept.
     pub fn hand_over(&mut self) {
         self.logged.clear();
-        self.wanted_since.clear();
+        self.differs_since.clear();
     }
 
-    /// The services whose engines are to change, beyond the `changes` that are open. `is_first` tells that nobody has
-    /// decided before in this system.
-    pub fn wanted(
+    /// Services whose engines have to change beyond the open `changes`. `is_first` means that no node has decided
+    /// before in this system.
+    pub fn required_changes(
         &mut self,
         knowledge: &Knowledge,
         changes: &StageChanges,
         is_first: bool,
         now: Timestamp,
-    ) -> Vec<WantedStages> {
+    ) -> Vec<RequiredChange> {
         let services = knowledge.configuration.iter().flat_map(|active| &active.configuration.services);
-        services.filter_map(|service| self.wanted_of(&service.name, knowledge, changes, is_first, now)).collect()
+        services
+            .filter_map(|service| self.required_change_of(&service.name, knowledge, changes, is_first, now))
+            .collect()
     }
 
-    fn wanted_of(
+    fn required_change_of(
         &mut self,
         service: &ServiceName,
         knowledge: &Knowledge,
         changes: &StageChanges,
         is_first: bool,
         now: Timestamp,
-    ) -> Option<WantedStages> {
+    ) -> Option<RequiredChange> {
         let (engines, slots) = staged_engines(knowledge, service, now);
         let present = changes.prefill_after(service, &engines);
         let counts = StageCounts { prefill: present, decode: engines.len() - present, slots };
@@ -94,15 +96,15 @@
             self.log(service, counts, decision);
         }
         let Some(prefill) = decision.map(|decision| decision.prefill).filter(|prefill| *prefill != present) else {
-            self.wanted_since.remove(service);
+            self.differs_since.remove(service);
             return None;
         };
-        let since = *self.wanted_since.entry(service.clone()).or_insert(now);
+        let since = *self.differs_since.entry(service.clone()).or_insert(now);
         let has_lasted = now.since(since).as_secs_f64() >= self.policy.config().dwell_seconds;
-        has_lasted.then(|| WantedStages { service: service.clone(), engines, prefill })
+        has_lasted.then(|| RequiredChange { service: service.clone(), engines, prefill })
     }
 
-    /// Logs a decision that differs from the last one.
+    /// Logs a decision that differs from the last logged one.
     fn log(&mut self, service: &ServiceName, counts: StageCounts, decision: StageDecision) {
         if self.logged.insert(service.clone(), decision.prefill) == Some(decision.prefill) {
             return;
@@ -115,16 +117,16 @@
             prefill = counts.prefill,
             decode = counts.decode,
             wanted = decision.prefill,
-            reading_need = decision.reading_need,
-            answering_need = decision.answering_need,
-            reading_rate = table.reading_rate(),
+            reading_need = decision.prefill_need,
+            answering_need = decision.decode_need,
+            reading_rate = table.prefill_rate(),
             reporters = table.reporters();
             ""
         );
     }
 }
 
-/// The engines of `service` that may be used and serve a stage, and the answers that each generates at the same time.
+/// Usable engines of `service` that serve a stage, and the number of answers that each can generate at the same time.
 fn staged_engines(knowledge: &Knowledge, service: &ServiceName, now: Timestamp) -> (Vec<StagedEngine>, u32) {
     let entries = || knowledge.directory.of_service(service);
     let slots = entries().map(|entry| entry.back_end.slots).min().unwrap_or(1);
--- a/crates/relay/src/control/stages/engine_orders.rs
+++ b/crates/relay/src/control/stages/engine_orders.rs
@@ -1,4 +1,4 @@
-//! An order to one engine, from its own report to its answer.
+//! Sends an order to one engine: reads the engine's report, sends the order and interprets the answer.
 
 use std::time::Duration;
 
@@ -14,52 +14,53 @@
 use crate::back_ends::{ConnectionPool, address_to, reading};
 use crate::protocol::{EngineReport, Protocol, StageOrderFacts};
 
-/// The longest that an engine may take to tell of itself: a few hundred bytes, of which it has a copy.
+/// Time limit for an engine's report: a few hundred bytes, of which the engine holds a copy.
 const REPORT_TIME_LIMIT: Duration = Duration::from_millis(400);
 
-/// The largest report or answer to an order.
+/// Maximum size of a report, or of an answer to an order.
 const ANSWER_MAXIMUM_BYTES: usize = 64 * 1024;
 
-/// Gives orders to engines over connections of its own. Copies share them.
+/// Sends orders to engines over its own connections, which clones share.
 #[derive(Clone)]
 pub struct EngineOrders<P> {
-    /// What engines speak.
+    /// Protocol of the engines.
     pub protocol: P,
     /// Connections to engines.
     pub pool: ConnectionPool,
-    /// This node's name, by which engines know the holder.
+    /// This node's name, which identifies the holder to engines.
     pub holder: NodeName,
     /// The node's clock.
     pub clock: Clock,
 }
 
-/// What is ordered, and how long the authority for it lasts.
+/// An order to an engine, and the time limits of its authority.
 pub struct EngineOrder {
     /// The engine.
     pub engine: BackEnd,
-    /// The stage that it is to serve.
+    /// The stage to change to.
     pub to: EngineStage,
     /// The term of the lease.
     pub term: Term,
-    /// The moment from which on the order must not be sent any more.
+    /// Time from which the order must not be sent.
     pub until: Timestamp,
-    /// The longest that its answer is waited for.
+    /// Time limit for the answer.
     pub time_limit: Duration,
 }
 
 impl<P: Protocol> EngineOrders<P> {
-    /// Orders an engine to change, unless it has changed or is changing, and tells how it answered.
+    /// Orders an engine to change, unless it has changed or is changing, and returns the result.
     ///
-    /// The engine's own count of orders goes along, so that of two copies of the order, or of it and a late one of another
-    /// holder, the engine follows one only.
-    pub async fn give(&self, order: &EngineOrder) -> OrderAnswer {
+    /// The order contains the engine's own count of accepted orders, so that the engine follows only one of two copies
+    /// of the order, or of the order and a late one of another holder.
+    pub async fn send(&self, order: &EngineOrder) -> OrderAnswer {
         let report = match timeout(REPORT_TIME_LIMIT, self.report(&order.engine)).await {
             Ok(Some(report)) => report,
-            // Nothing was ordered: an engine that does not tell of itself may be gone or cut off.
+            // No order is sent: an engine that does not report may be gone or unreachable.
             Ok(None) | Err(_) => return OrderAnswer::NotSent,
         };
         if !order.engine.id.may_be_life_of(report.started) {
-            // What was decided for a former life is decided anew for this one, once the directory shows it.
+            // The decision was made for a previous incarnation. It is made again for this one once the directory lists
+            // it.
             log::info!(event = "engine_is_another_life", back_end:% = order.engine.id, told_by = "report"; "");
             return OrderAnswer::NotSent;
         }
@@ -86,7 +87,7 @@
         let Ok(connection) = self.pool.lease(&order.engine).await else {
             return OrderAnswer::NotSent;
         };
-        // Looked at last: a process that was paused, or waited for the connection, may have lost the lease meanwhile.
+        // Checked last: the process may have lost the lease while it was paused or waiting for the connection.
         if self.clock.now() >= order.until {
             return OrderAnswer::NotSent;
         }
--- a/crates/relay/src/control/stages/mod.rs
+++ b/crates/relay/src/control/stages/mod.rs
@@ -1,7 +1,7 @@
-//! Stages: the node that holds the lease tells engines to change between reading prompts and answering.
+//! Stages: the node that holds the lease orders engines to change between prefill and decode.
 
 mod decisions;
 mod engine_orders;
-mod steering;
+mod stage_controller;
 
-pub use steering::{Steering, SteeringParts};
+pub use stage_controller::{StageController, StageControllerParts};
--- a/crates/relay/src/control/stages/steering.rs
+++ b/crates/relay/src/control/stages/stage_controller.rs
@@ -1,4 +1,5 @@
-//! The duty of steering stages: every node reports its demand, the holder of the lease decides, announces and orders.
+//! The duty of controlling stages: every node reports its demand; the lease holder decides, announces and orders
+//! changes.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 use havengate_core::world::{Address, BackEndId, NodeName};
 use tokio::task::JoinSet;
 
-use super::decisions::{Decisions, WantedStages};
+use super::decisions::{Decisions, RequiredChange};
 use super::engine_orders::{EngineOrder, EngineOrders};
 use crate::back_ends::{ConnectionPool, PoolLimits, SharedNotices};
 use crate::control::duties::LeaseKeeper;
@@ -21,59 +22,60 @@
 use crate::metrics::RelayMetrics;
 use crate::protocol::{ControlStore, Protocol};
 
-/// How often a node tells the candidates what its callers ask for. A report is some hundred bytes.
-const REPORT_PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which a node reports its demand to the candidates. A report is a few hundred bytes.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The pause between two announcements of the same changes: some of them come within the time after which nodes forget.
-const ANNOUNCE_PAUSE: Duration = Duration::from_millis(800);
+/// Interval between announcements of the same changes; several of them fit into the time after which nodes forget a
+/// change.
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(800);
 
-/// How often a new change is announced at once, against loss.
-const ANNOUNCED_AT_ONCE: u32 = 2;
+/// Number of announcements sent without waiting for the interval when a change starts or ends, against message loss.
+const IMMEDIATE_ANNOUNCEMENTS: u32 = 2;
 
-/// Stages are decided on a directory that was confirmed within this time only.
-const DIRECTORY_FRESH: Duration = Duration::from_secs(2);
+/// Stages are decided only on a directory that was confirmed within this time.
+const DIRECTORY_AGE_MAXIMUM: Duration = Duration::from_secs(2);
 
-/// What the duty is given.
-pub struct SteeringParts<P> {
+/// Dependencies of [`StageController`].
+pub struct StageControllerParts<P> {
     /// The node's name.
     pub node: NodeName,
-    /// Where peers reach this node; names it among them.
+    /// The node's peer address, which identifies it among its peers.
     pub own: Address,
-    /// Tells the lives of the node's process apart.
+    /// Distinguishes incarnations of the node's process.
     pub life: u64,
-    /// How stages are decided.
+    /// The policy that assigns engines to stages.
     pub policy: StagePolicyConfig,
-    /// What engines speak.
+    /// Protocol of the engines.
     pub protocol: P,
-    /// What this node's callers ask for.
+    /// Demand of this node's callers.
     pub demand: SharedDemand,
-    /// What back ends have said of themselves in answers.
+    /// Notices that back ends sent with their answers.
     pub notices: SharedNotices,
-    /// What the node knows.
+    /// State that the node has learned.
     pub learner: Learner,
     /// The exchange with peers.
     pub peers: PeerExchange,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: RelayMetrics,
 }
 
-/// What this node, as the one that acts, has to order.
+/// Changes and orders that this node, as the acting one, has to carry out.
 #[derive(Default)]
-pub struct StagesWanted {
+pub struct StageWork {
     decides: bool,
-    services: Vec<WantedStages>,
+    services: Vec<RequiredChange>,
     orders_due: bool,
 }
 
-impl StagesWanted {
+impl StageWork {
     /// Whether the lease is needed.
     pub fn is_needed(&self) -> bool {
         !self.services.is_empty() || self.orders_due
     }
 }
 
-/// The steering of stages at this node.
-pub struct Steering<P> {
+/// Controls the stages of engines from this node.
+pub struct StageController<P> {
     own: Address,
     life: u64,
     orders: EngineOrders<P>,
@@ -86,17 +88,18 @@
     changes: StageChanges,
     reported_at: Option<Timestamp>,
     announced_at: Option<Timestamp>,
-    announce_soon: u32,
-    /// Whether nobody has decided before in this system; `None` until the lease was read.
+    immediate_announcements_left: u32,
+    /// Whether no node has decided before in this system; `None` until the lease was read.
     is_first: Option<bool>,
 }
 
-impl<P: Protocol> Steering<P> {
-    /// The steering of a node that has just started.
-    pub fn new(parts: SteeringParts<P>) -> Self {
-        let SteeringParts { node, own, life, policy, protocol, demand, notices, learner, peers, metrics } = parts;
+impl<P: Protocol> StageController<P> {
+    /// Creates the controller of a node that has just started.
+    pub fn new(parts: StageControllerParts<P>) -> Self {
+        let StageControllerParts { node, own, life, policy, protocol, demand, notices, learner, peers, metrics } =
+            parts;
         let pool = ConnectionPool::new(PoolLimits::default());
-        Steering {
+        StageController {
             own,
             life,
             orders: EngineOrders { protocol, pool, holder: node, clock: learner.clock() },
@@ -109,56 +112,56 @@
             changes: StageChanges::new(ChangesConfig::default()),
             reported_at: None,
             announced_at: None,
-            announce_soon: 0,
+            immediate_announcements_left: 0,
             is_first: None,
         }
     }
 
-    /// Goes by other limits from now on.
+    /// Replaces the policy limits.
     pub fn set_config(&mut self, policy: StagePolicyConfig) {
         self.decisions.set_config(policy);
     }
 
-    /// Looks at what has changed, and, if this node is to act, what it has to order.
+    /// Records which changes have ended and, if this node `acts`, returns the changes and orders to carry out.
     pub async fn prepare<S: ControlStore>(
         &mut self,
         knowledge: &Knowledge,
         acts: bool,
         lease: &mut LeaseKeeper<S>,
-    ) -> StagesWanted {
+    ) -> StageWork {
         let now = self.now();
         self.decisions.take_loads(now);
         self.observe_changes(knowledge, now);
         let decides = acts && self.may_decide(knowledge, now);
-        if !decides || !self.knows_whether_first(lease).await {
-            return StagesWanted::default();
+        if !decides || !self.knows_is_first(lease).await {
+            return StageWork::default();
         }
         let is_first = self.is_first == Some(true);
-        let services = self.decisions.wanted(knowledge, &self.changes, is_first, self.now());
-        StagesWanted { decides, services, orders_due: !self.changes.due(now).is_empty() }
+        let services = self.decisions.required_changes(knowledge, &self.changes, is_first, self.now());
+        StageWork { decides, services, orders_due: !self.changes.due(now).is_empty() }
     }
 
-    /// Begins, announces and orders what is wanted, as far as there is a term to do it under.
+    /// Starts and orders changes if there is a `term` for it, and announces the open ones.
     pub async fn act<S: ControlStore>(
         &mut self,
         knowledge: &Knowledge,
-        wanted: StagesWanted,
+        work: StageWork,
         term: Option<Term>,
         lease: &mut LeaseKeeper<S>,
     ) {
-        if !wanted.decides {
+        if !work.decides {
             return;
         }
         if let Some(term) = term {
-            self.begin_changes(wanted.services, term);
+            self.start_changes(work.services, term);
         }
         self.announce(lease).await;
         if let Some(term) = term {
-            self.give_orders(knowledge, term, lease).await;
+            self.send_orders(knowledge, term, lease).await;
         }
     }
 
-    /// Leaves what is open: another node acts from now on.
+    /// Drops the open changes because another node acts from now on.
     pub fn hand_over(&mut self) {
         let open = self.changes.hand_over();
         if open > 0 {
@@ -172,22 +175,23 @@
     }
 
     fn may_decide(&self, knowledge: &Knowledge, now: Timestamp) -> bool {
-        let fresh = knowledge.directory_confirmed_at.is_some_and(|at| now.since(at) < DIRECTORY_FRESH);
-        fresh && knowledge.is_complete()
+        let is_fresh = knowledge.directory_confirmed_at.is_some_and(|at| now.since(at) < DIRECTORY_AGE_MAXIMUM);
+        is_fresh && knowledge.is_complete()
     }
 
-    /// Whether it is known that somebody has decided before in this system, or nobody. Without a policy it need not be.
-    async fn knows_whether_first<S: ControlStore>(&mut self, lease: &mut LeaseKeeper<S>) -> bool {
+    /// Returns whether it is known if any node has decided before in this system. Reads the lease for it only with a
+    /// policy.
+    async fn knows_is_first<S: ControlStore>(&mut self, lease: &mut LeaseKeeper<S>) -> bool {
         if self.is_first.is_none() && self.decisions.has_policy() {
             self.is_first = lease.is_unclaimed().await;
         }
         self.is_first.is_some()
     }
 
-    /// Tells the candidates, of which this node may be one, what its callers ask for.
+    /// Reports the demand of this node's callers to the candidates, which may include this node.
     pub async fn report(&mut self, candidates: &[Address]) {
         let now = self.now();
-        if self.reported_at.is_some_and(|at| now.since(at) < REPORT_PAUSE) {
+        if self.reported_at.is_some_and(|at| now.since(at) < REPORT_INTERVAL) {
             return;
         }
         self.reported_at = Some(now);
@@ -214,30 +218,30 @@
                 let pause_ms = whole_millis(pause);
                 log::warn!(event = "stages_paused", service:% = change.service, cause = "engines_end_by_orders", pause_ms; "");
             }
-            self.announce_soon = ANNOUNCED_AT_ONCE;
+            self.immediate_announcements_left = IMMEDIATE_ANNOUNCEMENTS;
         }
     }
 
-    fn begin_changes(&mut self, wanted: Vec<WantedStages>, term: Term) {
+    fn start_changes(&mut self, required: Vec<RequiredChange>, term: Term) {
         let now = self.now();
-        for WantedStages { service, engines, prefill } in wanted {
+        for RequiredChange { service, engines, prefill } in required {
             for StageOrder { engine, to } in self.changes.plan(&service, &engines, prefill, now) {
                 let (to, term) = (to.code(), term.0);
                 log::info!(event = "stage_change_begins", back_end:% = engine, service:% = service, to, term; "");
-                self.announce_soon = ANNOUNCED_AT_ONCE;
+                self.immediate_announcements_left = IMMEDIATE_ANNOUNCEMENTS;
             }
         }
     }
 
-    /// Tells all nodes, this one included, which engines change.
+    /// Announces the changing engines to all nodes, including this one.
     async fn announce<S: ControlStore>(&mut self, lease: &LeaseKeeper<S>) {
         let now = self.now();
-        let paused = self.announced_at.is_none_or(|at| now.since(at) >= ANNOUNCE_PAUSE);
-        let is_due = self.announce_soon > 0 || (paused && !self.changes.is_empty());
+        let is_interval_over = self.announced_at.is_none_or(|at| now.since(at) >= ANNOUNCEMENT_INTERVAL);
+        let is_due = self.immediate_announcements_left > 0 || (is_interval_over && !self.changes.is_empty());
         let Some(term) = lease.term().filter(|_| is_due) else {
             return;
         };
-        self.announce_soon = self.announce_soon.saturating_sub(1);
+        self.immediate_announcements_left = self.immediate_announcements_left.saturating_sub(1);
         self.announced_at = Some(now);
         let open = self.changes.open();
         let engines: Vec<(BackEndId, EngineStage)> = open.map(|change| (change.engine.clone(), change.to)).collect();
@@ -246,7 +250,7 @@
         self.peers.send_to(&PeerMessage::Stages(notice), &self.peers.recent(now)).await;
     }
 
-    async fn give_orders<S: ControlStore>(&mut self, knowledge: &Knowledge, term: Term, lease: &mut LeaseKeeper<S>) {
+    async fn send_orders<S: ControlStore>(&mut self, knowledge: &Knowledge, term: Term, lease: &mut LeaseKeeper<S>) {
         let due = self.changes.due(self.now());
         let Some(until) = lease.order_until().filter(|_| !due.is_empty()) else {
             return;
@@ -257,35 +261,36 @@
             let Some(entry) = knowledge.directory.get(&engine) else {
                 continue;
             };
-            // An order is a call like any other: one that leaves, or rests, is asked when it takes requests again, or never.
-            if let Some(unwelcome) = self.notices.lock().note_call_if_welcome(&engine, self.now()) {
-                log::info!(event = "stage_order_waits", back_end:% = engine, back_end_says = unwelcome.code(); "");
+            // Orders follow the rules of other calls: an engine that drains or backs off gets its order when it accepts
+            // requests again, or never.
+            if let Some(ineligibility) = self.notices.lock().note_call_if_welcome(&engine, self.now()) {
+                log::info!(event = "stage_order_waits", back_end:% = engine, back_end_says = ineligibility.code(); "");
                 continue;
             }
             let order = EngineOrder { engine: entry.back_end.clone(), to, term, until, time_limit };
             self.changes.ordered(&engine);
             let orders = self.orders.clone();
-            answers.spawn_local(async move { (orders.give(&order).await, order) });
+            answers.spawn_local(async move { (orders.send(&order).await, order) });
         }
         while let Some(ended) = answers.join_next().await {
-            // A task that panicked leaves its order as one whose fate is not known, until the change is given up.
+            // If the task panicked, the outcome of its order stays unknown until the change is given up.
             let Ok((answer, order)) = ended else {
-                lease.doubt();
+                lease.suspend_orders();
                 continue;
             };
-            self.note_answer(&order, answer, lease);
+            self.record_answer(&order, answer, lease);
         }
         self.orders.pool.tidy();
     }
 
-    fn note_answer<S: ControlStore>(&mut self, order: &EngineOrder, answer: OrderAnswer, lease: &mut LeaseKeeper<S>) {
+    fn record_answer<S: ControlStore>(&mut self, order: &EngineOrder, answer: OrderAnswer, lease: &mut LeaseKeeper<S>) {
         let (engine, to, term, code) = (&order.engine.id, order.to.code(), order.term.0, answer.code());
         log::info!(event = "stage_ordered", back_end:% = engine, to, term, answer = code; "");
         self.metrics.record_stage_order(code);
         self.changes.answered(engine, answer, self.now());
         match answer {
             OrderAnswer::Fenced => lease.fenced(order.term),
-            OrderAnswer::Unknown => lease.doubt(),
+            OrderAnswer::Unknown => lease.suspend_orders(),
             _ => {}
         }
     }
