--- a/crates/relay/src/back_ends/mod.rs
+++ b/crates/relay/src/back_ends/mod.rs
@@ -8,6 +8,6 @@
 
 pub use load::{BackEndLoads, InFlight};
 pub use notices::SharedNotices;
-pub use own_call::{address_to, reading};
+pub use own_call::{get_request, set_host};
 pub use pool::{ConnectError, ConnectionPool, Lease, PoolLimits};
 pub use send::{AnswerInProgress, SendFailure, Sent, is_unacknowledged, send};
--- a/crates/relay/src/back_ends/own_call.rs
+++ b/crates/relay/src/back_ends/own_call.rs
@@ -10,15 +10,15 @@
 use crate::protocol::RequestBody;
 
 /// A request without a body to read something at `engine`; `None` when its path is none.
-pub fn reading(engine: &BackEnd, path: &'static str) -> Option<Request<RequestBody>> {
+pub fn get_request(engine: &BackEnd, path: &'static str) -> Option<Request<RequestBody>> {
     let mut request = Request::new(RequestBody::default());
     *request.uri_mut() = path.parse::<Uri>().ok()?;
-    address_to(engine, &mut request)?;
+    set_host(engine, &mut request)?;
     Some(request)
 }
 
 /// Names `engine` as the one that `request` is for; `None` when its address can't be written.
-pub fn address_to(engine: &BackEnd, request: &mut Request<RequestBody>) -> Option<()> {
+pub fn set_host(engine: &BackEnd, request: &mut Request<RequestBody>) -> Option<()> {
     let host = HeaderValue::from_str(&engine.address.to_string()).ok()?;
     request.headers_mut().insert(HOST, host);
     Some(())
--- a/crates/relay/src/back_ends/pool.rs
+++ b/crates/relay/src/back_ends/pool.rs
@@ -103,12 +103,12 @@
     }
 
     /// Connections that are open to all back ends.
-    pub fn open_in_all(&self) -> u32 {
+    pub fn open_total(&self) -> u32 {
         self.connections.borrow().values().map(|connections| connections.open).sum()
     }
 
     /// Connections that rest, ready for a request to `id`.
-    pub fn resting(&self, id: &BackEndId) -> usize {
+    pub fn idle(&self, id: &BackEndId) -> usize {
         self.connections.borrow().get(id).map_or(0, |connections| connections.resting.len())
     }
 
--- a/crates/relay/src/back_ends/send.rs
+++ b/crates/relay/src/back_ends/send.rs
@@ -34,7 +34,7 @@
     /// The part that is sent.
     pub stage: &'a SendStage,
     /// An engine that keeps a part of the prompt.
-    pub keeper: Option<Address>,
+    pub cache_peer: Option<Address>,
     /// Who goes first at the back end.
     pub urgency: Option<EngineUrgency>,
     /// Whose request it is.
@@ -86,7 +86,7 @@
 impl SendFailure {
     /// Whether other nodes are to be told, for a send of this stage: the back end can't be reached, or has broken off its own
     /// work on a prompt. An answer that was lost, or did not come in time, may say as much of the link or of the load.
-    pub fn is_worth_a_warning(&self, stage: &SendStage) -> bool {
+    pub fn should_warn_peers(&self, stage: &SendStage) -> bool {
         match self {
             SendFailure::NotSent(_) | SendFailure::Silent(_) => true,
             SendFailure::Lost(_) => matches!(stage, SendStage::Prefill),
@@ -152,7 +152,7 @@
         back_end,
         deadline,
         stage: request.stage,
-        keeper: request.keeper,
+        keeper: request.cache_peer,
         urgency: request.urgency,
         tenant: request.tenant,
     };
--- a/crates/relay/src/cache_survey.rs
+++ b/crates/relay/src/cache_survey.rs
@@ -12,7 +12,7 @@
 use hyper::StatusCode;
 use tokio::time::{sleep, timeout};
 
-use crate::back_ends::reading;
+use crate::back_ends::get_request;
 use crate::callers::Traffic;
 use crate::protocol::Protocol;
 
@@ -34,9 +34,9 @@
         sleep(TRY_PAUSE).await;
     }
     for attempt in 0..TRIES {
-        traffic.readings.ask_kept().await;
+        traffic.readings.request_cached_parts().await;
         sleep(TRY_PAUSE).await;
-        if traffic.readings.knows_kept() {
+        if traffic.readings.knows_cached_parts() {
             log::info!(event = "kept_parts_learned", source = "peer", attempt; "");
             return;
         }
@@ -60,7 +60,7 @@
         asked += 1;
         if let Ok(Some(kept)) = timeout(ENGINE_TIME_LIMIT, list(traffic, engine)).await {
             parts += kept.len();
-            traffic.readings.engine_keeps(&engine.id, kept);
+            traffic.readings.record_cached_parts(&engine.id, kept);
         }
     }
     let took_ms = whole_millis(began.elapsed());
@@ -78,7 +78,7 @@
 /// What `engine` keeps of long prompts' shared parts; `None` when it does not tell.
 async fn list<P: Protocol>(traffic: &Traffic<P>, engine: &BackEnd) -> Option<Vec<PromptPart>> {
     let connection = traffic.pool.lease(engine).await.ok()?;
-    let request = reading(engine, traffic.protocol.kept_parts_path())?;
+    let request = get_request(engine, traffic.protocol.kept_parts_path())?;
     let (status, body) = connection.call(request, LIST_MAXIMUM_BYTES).await?;
     if status != StatusCode::OK {
         return None;
--- a/crates/relay/src/callers/candidates.rs
+++ b/crates/relay/src/callers/candidates.rs
@@ -46,7 +46,7 @@
                     usability => usability,
                 },
                 healthy: traffic.loads.admits(id, now) && !traffic.readings.is_suspected(id, now),
-                connectable: traffic.pool.open(id) < connections_maximum || traffic.pool.resting(id) > 0,
+                connectable: traffic.pool.open(id) < connections_maximum || traffic.pool.idle(id) > 0,
                 in_flight: traffic.loads.in_flight(id),
             }
         })
--- a/crates/relay/src/callers/send_step.rs
+++ b/crates/relay/src/callers/send_step.rs
@@ -40,7 +40,7 @@
         body: request.body.clone(),
         head: &request.head,
         stage,
-        keeper: keeper_for(traffic, request, back_end, stage),
+        cache_peer: keeper_for(traffic, request, back_end, stage),
         urgency: urgency_for(traffic, request, back_end, stage),
         tenant: request.tenant.as_ref().map(|tenant| &tenant.name),
         ends_at: request.ends_at,
@@ -115,7 +115,7 @@
     let unwelcome = traffic.notices.lock().note_call(&back_end.id, now);
     if let Some(unwelcome) = unwelcome {
         let (request, code) = (request.head.id_text(), unwelcome.code());
-        traffic.metrics.record_unwelcome_send(code);
+        traffic.metrics.record_ineligible_send(code);
         log::warn!(event = "send_unwelcome", request, back_end:% = back_end.id, back_end_says = code; "");
     }
 }
@@ -128,7 +128,7 @@
     let heard = traffic.notices.lock().note(&back_end.id, notice, traffic.clock.now());
     let request = request.head.id_text();
     if heard.leaves {
-        traffic.readings.note_leaving(&back_end.id);
+        traffic.readings.queue_drain_announcement(&back_end.id);
         traffic.metrics.record_notice("leaves");
         log::info!(event = "back_end_leaves", back_end:% = back_end.id, told_by = "answer", request; "");
     }
@@ -140,7 +140,7 @@
     if let Some(LimitChange { limit, begins }) = heard.limit {
         // Another number reaches peers in the course of things: an engine may name a new one in each answer.
         if begins {
-            traffic.readings.note_limit(&back_end.id);
+            traffic.readings.queue_limit_announcement(&back_end.id);
         }
         traffic.metrics.record_notice("limits");
         log::info!(event = "back_end_limits", back_end:% = back_end.id, per_second:% = limit, told_by = "answer", request; "");
@@ -151,7 +151,7 @@
 fn note_no_limit<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, sent_at: Timestamp) {
     let ended = traffic.notices.lock().limits.name_none(&back_end.id, sent_at);
     if ended {
-        traffic.readings.note_limit(&back_end.id);
+        traffic.readings.queue_limit_announcement(&back_end.id);
         let request = request.head.id_text();
         log::info!(event = "back_end_limit_ended", back_end:% = back_end.id, told_by = "answer", request; "");
     }
@@ -166,8 +166,8 @@
 ) {
     let now = traffic.clock.now();
     let cause = failure.to_string();
-    if failure.is_worth_a_warning(stage) {
-        traffic.readings.note_unreachable(&back_end.id);
+    if failure.should_warn_peers(stage) {
+        traffic.readings.record_unreachable(&back_end.id);
     }
     match failure {
         SendFailure::NoTime => {}
@@ -194,7 +194,7 @@
             traffic.loads.failed(&back_end.id, now);
             if matches!(stage, SendStage::Prefill) {
                 // Reading is the engine's own work, so its failure is the engine's.
-                traffic.readings.note_unreachable(&back_end.id);
+                traffic.readings.record_unreachable(&back_end.id);
             }
         }
         // A back end without room is in order, and its load is known by what is under way there.
@@ -245,7 +245,7 @@
     lease.give_back();
     if judgement == AnswerHead::Proper {
         traffic.loads.succeeded(&back_end.id);
-        traffic.readings.note_answer(&back_end.id);
+        traffic.readings.record_answer(&back_end.id);
         run.completed();
     }
     Some((parts, collected.to_bytes()))
--- a/crates/relay/src/callers/traffic.rs
+++ b/crates/relay/src/callers/traffic.rs
@@ -20,7 +20,7 @@
 use crate::demand::SharedDemand;
 use crate::knowledge::{SharedKnowledge, SharedMoment};
 use crate::metrics::RelayMetrics;
-use crate::readings::PeerNotices;
+use crate::peer_notices::PeerNotices;
 use crate::usage::SharedUsage;
 
 /// What all requests of a node share.
@@ -77,7 +77,7 @@
         let SharedWithTraffic { knowledge, demand, usage, configuration_shown, notices, clock, metrics } = shared;
         let pool = ConnectionPool::new(PoolLimits::default());
         let readings = PeerNotices::new(Arc::clone(&knowledge), notices.clone(), clock, metrics.clone());
-        let engine_ends = readings.engine_ends().clone();
+        let engine_ends = readings.engine_terminations().clone();
         Traffic {
             protocol,
             clock,
--- a/crates/relay/src/control/learner.rs
+++ b/crates/relay/src/control/learner.rs
@@ -296,7 +296,7 @@
         if is_behind {
             self.report_restore(position, own, source);
         }
-        self.metrics.record_spoiled_entries(malformed);
+        self.metrics.record_malformed_entries(malformed);
         self.publish_directory(confirmed_at, true);
     }
 
@@ -319,13 +319,13 @@
             source = source.code();
             ""
         );
-        self.metrics.record_store_back();
+        self.metrics.record_store_restore();
     }
 
     /// Logs and counts an update that was rejected because it leads to a directory older than this node's.
     fn report_outdated_update(&self, position: Position, own: Position, source: Source) {
         log::info!(event = "directory_news_old", position:%, own:%, source = source.code(); "");
-        self.metrics.record_old_news(source.code());
+        self.metrics.record_outdated_update(source.code());
     }
 
     /// Applies changes that lead to a directory that was current at `confirmed_at`.
@@ -343,7 +343,7 @@
             self.report_outdated_update(position, own, source);
             return;
         }
-        self.metrics.record_spoiled_entries(malformed);
+        self.metrics.record_malformed_entries(malformed);
         if count > 0 {
             log::debug!(event = "directory_changed", position:%, changes = count, source = source.code(); "");
         }
@@ -364,7 +364,7 @@
             let Some(previous) = directory.former_life(id) else {
                 continue;
             };
-            self.metrics.record_new_life();
+            self.metrics.record_new_incarnation();
             let millis = |id: &BackEndId| id.started().map(|started| started.0);
             let (started, before) = (millis(id), millis(previous));
             log::info!(event = "back_end_started_again", back_end:% = id, started:?, before:?; "");
--- a/crates/relay/src/control/stages/engine_orders.rs
+++ b/crates/relay/src/control/stages/engine_orders.rs
@@ -11,7 +11,7 @@
 use hyper::StatusCode;
 use tokio::time::timeout;
 
-use crate::back_ends::{ConnectionPool, address_to, reading};
+use crate::back_ends::{ConnectionPool, get_request, set_host};
 use crate::protocol::{EngineReport, Protocol, StageOrderFacts};
 
 /// Time limit for an engine's report: a few hundred bytes, of which the engine holds a copy.
@@ -78,7 +78,7 @@
             orders_taken: report.orders_taken,
         };
         let request = self.protocol.stage_order(&facts).and_then(|mut request| {
-            address_to(&order.engine, &mut request)?;
+            set_host(&order.engine, &mut request)?;
             Some(request)
         });
         let Some(request) = request else {
@@ -99,7 +99,7 @@
 
     async fn report(&self, engine: &BackEnd) -> Option<EngineReport> {
         let connection = self.pool.lease(engine).await.ok()?;
-        let request = reading(engine, self.protocol.report_path())?;
+        let request = get_request(engine, self.protocol.report_path())?;
         let (status, body) = connection.call(request, ANSWER_MAXIMUM_BYTES).await?;
         if status != StatusCode::OK {
             return None;
--- a/crates/relay/src/metrics/labels.rs
+++ b/crates/relay/src/metrics/labels.rs
@@ -81,9 +81,9 @@
     /// Back ends that could not be reached.
     Unreachable,
     /// Engines that ended while they ran requests.
-    Ends,
+    Terminations,
     /// Back ends that said that they leave.
-    Leaving,
+    Draining,
     /// What back ends in need take.
     Limits,
 }
@@ -99,8 +99,8 @@
             NodeMessageKind::Stages => "stages",
             NodeMessageKind::Usage => "usage",
             NodeMessageKind::Unreachable => "unreachable",
-            NodeMessageKind::Ends => "ends",
-            NodeMessageKind::Leaving => "leaving",
+            NodeMessageKind::Terminations => "ends",
+            NodeMessageKind::Draining => "leaving",
             NodeMessageKind::Limits => "limits",
         }
     }
--- a/crates/relay/src/metrics/mod.rs
+++ b/crates/relay/src/metrics/mod.rs
@@ -267,7 +267,7 @@
     }
 
     /// Counts a send that the back end's own word speaks against.
-    pub fn record_unwelcome_send(&self, notice: &'static str) {
+    pub fn record_ineligible_send(&self, notice: &'static str) {
         self.metrics.unwelcome_sends.get_or_create(&NoticeLabel { notice }).inc();
     }
 
@@ -289,22 +289,22 @@
     }
 
     /// Counts entries of back ends that name none.
-    pub fn record_spoiled_entries(&self, count: usize) {
+    pub fn record_malformed_entries(&self, count: usize) {
         self.metrics.spoiled_entries.inc_by(count as u64);
     }
 
     /// Counts a back end that has started again under its name.
-    pub fn record_new_life(&self) {
+    pub fn record_new_incarnation(&self) {
         self.metrics.new_lives.inc();
     }
 
     /// Counts that the directory became one of an older copy of the store.
-    pub fn record_store_back(&self) {
+    pub fn record_store_restore(&self) {
         self.metrics.store_backs.inc();
     }
 
     /// Counts news of the directory that were older than it.
-    pub fn record_old_news(&self, source: &'static str) {
+    pub fn record_outdated_update(&self, source: &'static str) {
         self.metrics.old_news.get_or_create(&SourceLabel { source }).inc();
     }
 
--- a/crates/relay/src/readings/telling.rs
+++ b/crates/relay/src/peer_notices/announcements.rs
@@ -111,7 +111,7 @@
             self.shared.engine_ends.wait_for_news().await;
             if let Some(notice) = self.sender().and_then(|sender| self.shared.engine_ends.notice(sender)) {
                 let peers = Arc::clone(&self.shared.knowledge.load().peers);
-                self.send(&PeerNotice::Ends(notice), NodeMessageKind::Ends, &peers).await;
+                self.send(&PeerNotice::Ends(notice), NodeMessageKind::Terminations, &peers).await;
             }
             sleep(ENDS_PAUSE).await;
         }
@@ -140,7 +140,7 @@
     async fn tell_blame(&self, receiver: Address) {
         let notice = self.sender().and_then(|sender| self.shared.engine_ends.known_blame(sender));
         if let Some(notice) = notice {
-            self.send(&PeerNotice::Ends(notice), NodeMessageKind::Ends, &[receiver]).await;
+            self.send(&PeerNotice::Ends(notice), NodeMessageKind::Terminations, &[receiver]).await;
         }
     }
 
@@ -178,7 +178,7 @@
     async fn send_leaving(&self, back_ends: Vec<DrainingBackEnd>, receivers: &[Address]) {
         if let Some(sender) = self.sender().filter(|_| !back_ends.is_empty()) {
             let notice = PeerNotice::Leaving(DrainNotice { sender, back_ends });
-            self.send(&notice, NodeMessageKind::Leaving, receivers).await;
+            self.send(&notice, NodeMessageKind::Draining, receivers).await;
         }
     }
 
--- a/crates/relay/src/readings/mod.rs
+++ b/crates/relay/src/peer_notices/mod.rs
@@ -1,8 +1,8 @@
 //! The prompts that engines read now, as this node and its peers see it.
 
+mod announcements;
 mod limits;
-mod telling;
-mod untold;
+mod pending;
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -19,7 +19,7 @@
 use havengate_node::clock::Clock;
 use tokio::sync::Notify;
 
-use self::untold::Untold;
+use self::pending::Untold;
 use crate::back_ends::SharedNotices;
 use crate::datagrams::Datagrams;
 use crate::engine_ends::SharedEngineTerminations;
@@ -107,7 +107,7 @@
     }
 
     /// Asks a few peers what engines keep.
-    pub async fn ask_kept(&self) {
+    pub async fn request_cached_parts(&self) {
         let Some(sender) = self.sender() else {
             return;
         };
@@ -115,12 +115,12 @@
     }
 
     /// Whether anything is known of what engines keep.
-    pub fn knows_kept(&self) -> bool {
+    pub fn knows_cached_parts(&self) -> bool {
         self.shared.index.borrow().knows_kept()
     }
 
     /// Takes in what an engine itself tells that it keeps.
-    pub fn engine_keeps(&self, engine: &BackEndId, parts: Vec<PromptPart>) {
+    pub fn record_cached_parts(&self, engine: &BackEndId, parts: Vec<PromptPart>) {
         let told = parts.into_iter().map(|part| AnnouncedPart { part, brought_since: 0 });
         let kept = CachedParts { engine: engine.clone(), parts: told.collect() };
         self.shared.index.borrow_mut().adopt_kept(kept, self.shared.clock.now());
@@ -157,25 +157,25 @@
 
     /// Notes that `engine` has got the KV cache of `prompt` from another one and began its answer `took` after it was
     /// sent there.
-    pub fn moved(&self, engine: &BackEndId, prompt: &Prompt, took: Duration) {
+    pub fn record_cache_transfer(&self, engine: &BackEndId, prompt: &Prompt, took: Duration) {
         self.shared.index.borrow_mut().moved(engine, prompt, took, self.shared.clock.now());
         self.note_news();
     }
 
     /// Notes that an engine began an answer `took` after it was sent there, for which no long prompt was moved or read.
-    pub fn waited(&self, took: Duration) {
+    pub fn record_wait(&self, took: Duration) {
         self.shared.index.borrow_mut().waited(took, self.shared.clock.now());
     }
 
     /// Notes that `back_end` could not be reached; peers are told at once.
-    pub fn note_unreachable(&self, back_end: &BackEndId) {
+    pub fn record_unreachable(&self, back_end: &BackEndId) {
         let now = self.shared.clock.now();
         self.shared.suspicions.borrow_mut().note_unreachable(back_end.into(), now);
         self.shared.unreachable.notify_one();
     }
 
     /// Notes that `back_end` has answered.
-    pub fn note_answer(&self, back_end: &BackEndId) {
+    pub fn record_answer(&self, back_end: &BackEndId) {
         self.shared.suspicions.borrow_mut().note_answer(back_end.into(), self.shared.clock.now());
     }
 
@@ -185,17 +185,17 @@
     }
 
     /// Tells peers at once of a back end that told this node that it leaves.
-    pub fn note_leaving(&self, back_end: &BackEndId) {
+    pub fn queue_drain_announcement(&self, back_end: &BackEndId) {
         self.shared.leaving.note(back_end);
     }
 
     /// Tells peers at once of a back end that named a limit to this node for the first time, or none any more.
-    pub fn note_limit(&self, back_end: &BackEndId) {
+    pub fn queue_limit_announcement(&self, back_end: &BackEndId) {
         self.shared.limits.note(back_end);
     }
 
     /// The engines that ended while they ran requests.
-    pub fn engine_ends(&self) -> &SharedEngineTerminations {
+    pub fn engine_terminations(&self) -> &SharedEngineTerminations {
         &self.shared.engine_ends
     }
 
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -138,7 +138,7 @@
         let mut reload_signal = signal(SignalKind::hangup())?;
         let server = CallerServer::bind(settings.callers_address.0)?;
         traffic.readings.exchange(settings.notices_address).await?;
-        tokio::task::spawn_local(traffic.readings.engine_ends().clone().keep_in_store(blocks));
+        tokio::task::spawn_local(traffic.readings.engine_terminations().clone().keep_in_store(blocks));
         tokio::task::spawn_local(survey(Rc::clone(&traffic)));
         serve_side(settings.readiness_address, Rc::clone(&traffic), readiness::<P>)?;
         if let Some(address) = settings.metrics_address {
@@ -194,8 +194,8 @@
         stages = traffic.metrics.node_bytes(NodeMessageKind::Stages),
         usage = traffic.metrics.node_bytes(NodeMessageKind::Usage),
         unreachable = traffic.metrics.node_bytes(NodeMessageKind::Unreachable),
-        ends = traffic.metrics.node_bytes(NodeMessageKind::Ends),
-        leaving = traffic.metrics.node_bytes(NodeMessageKind::Leaving),
+        ends = traffic.metrics.node_bytes(NodeMessageKind::Terminations),
+        leaving = traffic.metrics.node_bytes(NodeMessageKind::Draining),
         limits = traffic.metrics.node_bytes(NodeMessageKind::Limits);
         ""
     );
@@ -237,11 +237,11 @@
     traffic.readings.with_index(|index| traffic.metrics.set_estimates(index.model(), now));
     traffic.metrics.set_state(&NodeState {
         open_requests: traffic.active.count(),
-        connections: traffic.pool.open_in_all(),
+        connections: traffic.pool.open_total(),
         directory_age: confirmed_at.map(|confirmed_at| now.since(confirmed_at)),
         repeats_left: traffic.repeats_left(),
         late_stretch: traffic.late_stretch(),
-        blocked_contents: traffic.readings.engine_ends().blocked(),
+        blocked_contents: traffic.readings.engine_terminations().blocked(),
     });
     match traffic.metrics.encode() {
         Ok(text) => Response::new(Full::new(Bytes::from(text))),
--- a/crates/relay/tests/readings.rs
+++ b/crates/relay/tests/peer_notices.rs
@@ -12,7 +12,7 @@
 use havengate_relay::back_ends::SharedNotices;
 use havengate_relay::knowledge::{Knowledge, SharedKnowledge};
 use havengate_relay::metrics::RelayMetrics;
-use havengate_relay::readings::PeerNotices;
+use havengate_relay::peer_notices::PeerNotices;
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
@@ -117,8 +117,8 @@
         three.knows(&[&one, &two]);
         // What was told is soon forgotten, so it is told until it has arrived.
         until(|| {
-            one.readings.note_unreachable(&engine().id);
-            two.readings.note_unreachable(&engine().id);
+            one.readings.record_unreachable(&engine().id);
+            two.readings.record_unreachable(&engine().id);
             three.readings.is_suspected(&engine().id, three.clock.now())
         })
         .await;
@@ -134,8 +134,8 @@
         two.knows(&[&three]);
         three.knows(&[&one]);
         until(|| {
-            one.readings.note_unreachable(&engine().id);
-            two.readings.note_unreachable(&engine().id);
+            one.readings.record_unreachable(&engine().id);
+            two.readings.record_unreachable(&engine().id);
             three.dropped("unknown_sender")
         })
         .await;
@@ -156,21 +156,24 @@
                 let sent_at = node.clock.now();
                 let runs = [TerminatedRun { content: popular, sent_at }];
                 let engine = BackEndId::new(format!("ended-{number}"));
-                node.readings.engine_ends().note_ended(&engine, &runs, node.clock.now());
+                node.readings.engine_terminations().note_ended(&engine, &runs, node.clock.now());
             }
         };
         ends(&here, 1);
         ends(&there, 3);
         // Ends are told as ages, which a message on its way makes longer: the answer has to come clearly later.
         sleep(20 * POLL).await;
-        here.readings.engine_ends().note_served(popular);
-        assert_eq!(there.readings.engine_ends().blocked(), 1);
+        here.readings.engine_terminations().note_served(popular);
+        assert_eq!(there.readings.engine_terminations().blocked(), 1);
         // Both have told all that they had, to nobody, before they know of each other.
-        until(|| !here.readings.engine_ends().has_untold() && !there.readings.engine_ends().has_untold()).await;
+        until(|| {
+            !here.readings.engine_terminations().has_untold() && !there.readings.engine_terminations().has_untold()
+        })
+        .await;
         here.knows(&[&there]);
         there.knows(&[&here]);
-        until(|| there.readings.engine_ends().blocked() == 0).await;
-        assert!(!here.readings.engine_ends().is_suspect(popular));
+        until(|| there.readings.engine_terminations().blocked() == 0).await;
+        assert!(!here.readings.engine_terminations().is_suspect(popular));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/relay/tests/send_failure.rs
+++ b/crates/relay/tests/send_failure.rs
@@ -17,23 +17,23 @@
 fn a_back_end_that_cannot_be_connected_to_or_acknowledges_nothing_is_told_to_others() {
     for failure in [SendFailure::NotSent(text()), SendFailure::Silent(text())] {
         for stage in [SendStage::Whole, SendStage::Prefill, decode()] {
-            assert!(failure.is_worth_a_warning(&stage), "{failure} {stage:?}");
+            assert!(failure.should_warn_peers(&stage), "{failure} {stage:?}");
         }
     }
 }
 
 #[test]
 fn a_prompt_that_an_engine_broke_off_is_told_and_an_answer_that_was_lost_is_not() {
-    assert!(SendFailure::Lost(text()).is_worth_a_warning(&SendStage::Prefill));
-    assert!(!SendFailure::Lost(text()).is_worth_a_warning(&SendStage::Whole));
-    assert!(!SendFailure::Lost(text()).is_worth_a_warning(&decode()));
+    assert!(SendFailure::Lost(text()).should_warn_peers(&SendStage::Prefill));
+    assert!(!SendFailure::Lost(text()).should_warn_peers(&SendStage::Whole));
+    assert!(!SendFailure::Lost(text()).should_warn_peers(&decode()));
 }
 
 #[test]
 fn a_request_whose_time_ran_out_says_nothing_of_the_engine_that_had_much_to_do() {
     for failure in [SendFailure::TimedOut, SendFailure::NoTime] {
         for stage in [SendStage::Whole, SendStage::Prefill, decode()] {
-            assert!(!failure.is_worth_a_warning(&stage), "{failure} {stage:?}");
+            assert!(!failure.should_warn_peers(&stage), "{failure} {stage:?}");
         }
     }
 }
