--- a/crates/relay/src/back_ends/load.rs
+++ b/crates/relay/src/back_ends/load.rs
@@ -1,4 +1,4 @@
-//! What this node has under way at each back end, and how each has answered it lately.
+//! This node's requests in flight at each back end, and the health of each as seen from its recent answers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,34 +8,34 @@
 use havengate_core::time::Timestamp;
 use havengate_core::world::BackEndId;
 
-/// What is known of one back end from this node's own requests.
+/// The state of one back end, as observed from this node's own requests.
 #[derive(Debug)]
 struct BackEndLoad {
     in_flight: u32,
     health: BackEndHealth,
 }
 
-/// Loads of all back ends. Copies share the same counts.
+/// Loads of all back ends. Clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct BackEndLoads {
     loads: Rc<RefCell<HashMap<BackEndId, BackEndLoad>>>,
 }
 
-/// A back end that nothing was sent to for this many entries' worth of others is forgotten.
+/// The number of entries from which on those of back ends without a request in flight are removed.
 const LOADS_MAXIMUM: usize = 4_096;
 
 impl BackEndLoads {
-    /// Requests under way at `id`.
+    /// Requests in flight at `id`.
     pub fn in_flight(&self, id: &BackEndId) -> u32 {
         self.loads.borrow().get(id).map_or(0, |load| load.in_flight)
     }
 
-    /// Whether the health of `id` lets it be used.
+    /// Whether the health of `id` admits requests.
     pub fn admits(&self, id: &BackEndId, now: Timestamp) -> bool {
         self.loads.borrow().get(id).is_none_or(|load| load.health.admits(now))
     }
 
-    /// Notes a send; the returned guard counts it as under way until it is dropped.
+    /// Records a send; the returned guard counts it as in flight until it is dropped.
     pub fn begin(&self, id: &BackEndId, now: Timestamp) -> InFlight {
         let mut loads = self.loads.borrow_mut();
         if loads.len() >= LOADS_MAXIMUM {
@@ -50,19 +50,19 @@
         InFlight { loads: self.clone(), id: id.clone() }
     }
 
-    /// Notes a proper answer.
+    /// Records a successful answer.
     pub fn succeeded(&self, id: &BackEndId) {
         self.with_health(id, |health| health.record_success());
     }
 
-    /// Notes an answer that reports a failure.
+    /// Records an answer that reports a failure.
     pub fn failed(&self, id: &BackEndId, now: Timestamp) {
         if self.with_health(id, |health| health.record_failure(now)) == Some(true) {
             log::warn!(event = "back_end_ejected", back_end:% = id, cause = "failures"; "");
         }
     }
 
-    /// Notes that the back end can't be reached or is another one by now.
+    /// Records that the back end can't be reached or has been replaced by another one.
     pub fn unreachable(&self, id: &BackEndId, now: Timestamp, cause: &str) {
         if self.with_health(id, |health| health.record_unreachable(now)) == Some(true) {
             log::warn!(event = "back_end_ejected", back_end:% = id, cause; "");
@@ -74,7 +74,7 @@
     }
 }
 
-/// A request that is under way at a back end.
+/// Counts a request as in flight at a back end until it is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     loads: BackEndLoads,
--- a/crates/relay/src/back_ends/mod.rs
+++ b/crates/relay/src/back_ends/mod.rs
@@ -1,4 +1,4 @@
-//! The side towards back ends: connections that are kept, and one send of a request.
+//! Connections to back ends, their load and health, and single sends of requests.
 
 mod load;
 mod notices;
--- a/crates/relay/src/back_ends/notices.rs
+++ b/crates/relay/src/back_ends/notices.rs
@@ -1,21 +1,21 @@
-//! What back ends have said of themselves in answers, shared between the two threads.
+//! Notices that back ends send about themselves in answers, shared between the two threads.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use havengate_core::back_ends::BackEndNotices;
 
-/// What back ends have said of themselves. Copies share it.
+/// Notices that back ends send about themselves. Clones share the state.
 ///
-/// The traffic thread hears it; the control thread, which orders engines, goes by it a few times a minute.
+/// The traffic thread records them; the control thread, which sends orders to engines, reads them a few times a minute.
 #[derive(Clone, Debug, Default)]
 pub struct SharedNotices {
     notices: Arc<Mutex<BackEndNotices>>,
 }
 
 impl SharedNotices {
-    /// What was said, until the guard is dropped. Nothing waits while it is held.
+    /// Locks the notices. No thread waits for anything else while it holds the guard.
     pub fn lock(&self) -> MutexGuard<'_, BackEndNotices> {
-        // Each change is whole before it can panic, so what a panicked thread leaves behind holds.
+        // Each change completes before any point that can panic, so the state is consistent after a panic of a thread.
         self.notices.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/relay/src/back_ends/own_call.rs
+++ b/crates/relay/src/back_ends/own_call.rs
@@ -1,4 +1,4 @@
-//! Calls that a node makes to an engine for itself, not for a caller.
+//! Calls that a node makes to an engine on its own behalf, not for a caller.
 
 use bytes::Bytes;
 use havengate_core::back_ends::BackEnd;
@@ -9,7 +9,7 @@
 use super::pool::Lease;
 use crate::protocol::RequestBody;
 
-/// A request without a body to read something at `engine`; `None` when its path is none.
+/// A GET request to `engine` without a body; `None` when the path or the address is invalid.
 pub fn get_request(engine: &BackEnd, path: &'static str) -> Option<Request<RequestBody>> {
     let mut request = Request::new(RequestBody::default());
     *request.uri_mut() = path.parse::<Uri>().ok()?;
@@ -17,7 +17,7 @@
     Some(request)
 }
 
-/// Names `engine` as the one that `request` is for; `None` when its address can't be written.
+/// Sets the `Host` header of `request` to the address of `engine`; `None` when the address is not a valid header value.
 pub fn set_host(engine: &BackEnd, request: &mut Request<RequestBody>) -> Option<()> {
     let host = HeaderValue::from_str(&engine.address.to_string()).ok()?;
     request.headers_mut().insert(HOST, host);
@@ -25,8 +25,8 @@
 }
 
 impl Lease {
-    /// Makes one call and reads its whole answer, of `maximum_bytes` at most; `None` when there is none. The connection is
-    /// kept after a whole answer.
+    /// Makes one call and reads its complete answer, of at most `maximum_bytes`; `None` when the call fails. The
+    /// connection is returned to the pool after a complete answer.
     pub async fn call(mut self, request: Request<RequestBody>, maximum_bytes: usize) -> Option<(StatusCode, Bytes)> {
         let answer = self.sender()?.send_request(request).await.ok()?;
         let status = answer.status();
--- a/crates/relay/src/back_ends/pool.rs
+++ b/crates/relay/src/back_ends/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends, kept for the next request.
+//! A pool of keep-alive connections to back ends.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,20 +17,20 @@
 
 use crate::protocol::RequestBody;
 
-/// Limits of the pool.
+/// Time and size limits of the pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// The longest that a connection may take to come up. A live back end takes a few milliseconds; one without power
-    /// never answers.
+    /// The time limit for establishing a connection. A live back end takes a few milliseconds; one without power never
+    /// answers.
     pub connect_time_limit: Duration,
-    /// How long bytes may stay without the word that they have arrived. A back end without power says nothing, and a
-    /// request on a kept connection would wait for it until its deadline. A lost packet is sent again well before.
+    /// How long sent data may stay unacknowledged. A back end without power acknowledges nothing, and a request on an
+    /// established connection would wait for it until its deadline. A lost packet is retransmitted well before.
     pub unacknowledged_time_limit: Duration,
-    /// How long a connection may rest before its next request when the back end doesn't say.
-    pub rest_default: Duration,
-    /// The share of the time that the back end allows, for which a connection may rest: a request that crosses the back
-    /// end's close is lost.
-    pub rest_share: f64,
+    /// How long a connection may stay idle when the back end announces no keep-alive timeout.
+    pub idle_time_default: Duration,
+    /// The share of the back end's keep-alive timeout for which a connection may stay idle: a request that is sent
+    /// while the back end closes the connection is lost.
+    pub keep_alive_share: f64,
     /// The largest head of an answer, in bytes.
     pub head_maximum_bytes: usize,
 }
@@ -40,17 +40,17 @@
         PoolLimits {
             connect_time_limit: Duration::from_millis(300),
             unacknowledged_time_limit: Duration::from_millis(700),
-            rest_default: Duration::from_secs(1),
-            rest_share: 0.6,
+            idle_time_default: Duration::from_secs(1),
+            keep_alive_share: 0.6,
             head_maximum_bytes: 16 * 1024,
         }
     }
 }
 
-/// Why no connection came up.
+/// Why no connection was established.
 #[derive(Clone, Debug, displaydoc::Display, thiserror::Error)]
 pub enum ConnectError {
-    /// the connection did not come up in time
+    /// the connection was not established in time
     TimedOut,
     /// the connection was refused: {0}
     Refused(String),
@@ -59,7 +59,7 @@
 }
 
 impl ConnectError {
-    /// What a failure to connect proves: a refusal comes from a live machine on which nothing listens any more.
+    /// Classifies a failure to connect. A refusal comes from a live machine on which no process listens any more.
     fn of(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::ConnectionRefused => ConnectError::Refused(error.to_string()),
@@ -73,18 +73,18 @@
     task: AbortHandle,
 }
 
-struct Resting {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Default)]
 struct BackEndConnections {
     open: u32,
-    resting: Vec<Resting>,
+    idle: Vec<IdleConnection>,
 }
 
-/// Connections to all back ends. Copies share them.
+/// Connections to all back ends. Clones share them.
 #[derive(Clone)]
 pub struct ConnectionPool {
     limits: PoolLimits,
@@ -92,55 +92,60 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(limits: PoolLimits) -> Self {
         ConnectionPool { limits, connections: Rc::default() }
     }
 
-    /// Connections that are open to `id`.
+    /// The number of open connections to `id`.
     pub fn open(&self, id: &BackEndId) -> u32 {
         self.connections.borrow().get(id).map_or(0, |connections| connections.open)
     }
 
-    /// Connections that are open to all back ends.
+    /// The number of open connections to all back ends.
     pub fn open_total(&self) -> u32 {
         self.connections.borrow().values().map(|connections| connections.open).sum()
     }
 
-    /// Connections that rest, ready for a request to `id`.
+    /// The number of idle connections to `id`.
     pub fn idle(&self, id: &BackEndId) -> usize {
-        self.connections.borrow().get(id).map_or(0, |connections| connections.resting.len())
+        self.connections.borrow().get(id).map_or(0, |connections| connections.idle.len())
     }
 
-    /// A connection to `back_end`: a resting one or a new one.
+    /// Takes an idle connection to `back_end` or opens a new one.
     ///
     /// # Errors
-    /// When no connection comes up.
+    /// When no connection can be established.
     pub async fn lease(&self, back_end: &BackEnd) -> Result<Lease, ConnectError> {
-        let connection = match self.take_resting(&back_end.id) {
+        let connection = match self.take_idle(&back_end.id) {
             Some(connection) => connection,
             None => self.connect(back_end).await?,
         };
         let pool = self.clone();
-        Ok(Lease { connection: Some(connection), pool, id: back_end.id.clone(), rest: self.limits.rest_default })
+        Ok(Lease {
+            connection: Some(connection),
+            pool,
+            id: back_end.id.clone(),
+            idle_time: self.limits.idle_time_default,
+        })
     }
 
-    /// Opens a new connection to `back_end` to see whether it still listens, and keeps it for the next request.
+    /// Opens a new connection to `back_end` to check whether it still listens, and keeps it for the next request.
     ///
     /// # Errors
-    /// When no connection comes up.
+    /// When no connection can be established.
     pub async fn check(&self, back_end: &BackEnd) -> Result<(), ConnectError> {
         let connection = self.connect(back_end).await?;
-        self.put_back(&back_end.id, connection, self.limits.rest_default);
+        self.put_back(&back_end.id, connection, self.limits.idle_time_default);
         Ok(())
     }
 
-    fn take_resting(&self, id: &BackEndId) -> Option<Connection> {
+    fn take_idle(&self, id: &BackEndId) -> Option<Connection> {
         let mut connections = self.connections.borrow_mut();
-        let resting = &mut connections.get_mut(id)?.resting;
+        let idle = &mut connections.get_mut(id)?.idle;
         let now = Instant::now();
-        while let Some(Resting { connection, until }) = resting.pop() {
-            if until > now && connection.sender.is_ready() {
+        while let Some(IdleConnection { connection, expires_at }) = idle.pop() {
+            if expires_at > now && connection.sender.is_ready() {
                 return Some(connection);
             }
             connection.task.abort();
@@ -156,7 +161,7 @@
             Ok(Err(error)) => return Err(ConnectError::of(&error)),
             Ok(Ok(stream)) => stream,
         };
-        // Events of a stream are small and must not wait for each other.
+        // Events of a stream are small and must not be delayed by Nagle's algorithm.
         let _ = stream.set_nodelay(true);
         let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(self.limits.unacknowledged_time_limit));
         let handshake = Builder::new()
@@ -165,33 +170,33 @@
         let (sender, connection) = handshake.await.map_err(|error| ConnectError::Failed(error.to_string()))?;
         let task = tokio::task::spawn_local(async move {
             let _open = opening;
-            // The request that the connection carries is told of its failure; an idle one may end as it likes.
+            // The request in flight receives the error; the end of an idle connection needs no handling.
             let _ = connection.await;
         });
         Ok(Connection { sender, task: task.abort_handle() })
     }
 
-    fn put_back(&self, id: &BackEndId, connection: Connection, rest: Duration) {
+    fn put_back(&self, id: &BackEndId, connection: Connection, idle_time: Duration) {
         if connection.sender.is_closed() {
             return;
         }
         let mut connections = self.connections.borrow_mut();
-        let resting = &mut connections.entry(id.clone()).or_default().resting;
-        resting.push(Resting { connection, until: Instant::now() + rest });
+        let idle = &mut connections.entry(id.clone()).or_default().idle;
+        idle.push(IdleConnection { connection, expires_at: Instant::now() + idle_time });
     }
 
-    /// Closes connections that have rested too long, and forgets back ends without any.
+    /// Closes connections that have been idle too long, and removes back ends without connections.
     pub fn tidy(&self) {
         let now = Instant::now();
         self.connections.borrow_mut().retain(|_, connections| {
-            connections.resting.retain(|resting| {
-                let keep = resting.until > now && !resting.connection.sender.is_closed();
+            connections.idle.retain(|idle| {
+                let keep = idle.expires_at > now && !idle.connection.sender.is_closed();
                 if !keep {
-                    resting.connection.task.abort();
+                    idle.connection.task.abort();
                 }
                 keep
             });
-            connections.open > 0 || !connections.resting.is_empty()
+            connections.open > 0 || !connections.idle.is_empty()
         });
     }
 }
@@ -217,30 +222,30 @@
     }
 }
 
-/// A connection that carries one request. Unless it is given back after a whole answer, dropping it closes the
-/// connection at once, so that the back end stops working for nobody.
+/// A connection that carries one request. Unless it is given back after a complete answer, dropping it closes the
+/// connection at once, so that the back end stops working on an abandoned request.
 pub struct Lease {
     connection: Option<Connection>,
     pool: ConnectionPool,
     id: BackEndId,
-    rest: Duration,
+    idle_time: Duration,
 }
 
 impl Lease {
-    /// Where the request is handed to the connection.
+    /// The sender for the request on this connection.
     pub fn sender(&mut self) -> Option<&mut SendRequest<RequestBody>> {
         self.connection.as_mut().map(|connection| &mut connection.sender)
     }
 
-    /// Takes the back end's word on how long the connection may rest, in whole seconds.
-    pub fn allow_rest(&mut self, seconds: u64) {
-        self.rest = Duration::from_secs(seconds).mul_f64(self.pool.limits.rest_share);
+    /// Sets the idle time from the back end's keep-alive timeout, in whole seconds.
+    pub fn apply_keep_alive(&mut self, seconds: u64) {
+        self.idle_time = Duration::from_secs(seconds).mul_f64(self.pool.limits.keep_alive_share);
     }
 
-    /// Keeps the connection for the next request: the answer was read to its end.
+    /// Returns the connection to the pool, once the answer has been read to its end.
     pub fn give_back(mut self) {
         if let Some(connection) = self.connection.take() {
-            self.pool.put_back(&self.id, connection, self.rest);
+            self.pool.put_back(&self.id, connection, self.idle_time);
         }
     }
 }
--- a/crates/relay/src/back_ends/send.rs
+++ b/crates/relay/src/back_ends/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one back end, up to the head of its answer.
+//! Sends a request to one back end and waits for the head of the answer.
 
 use std::error::Error;
 use std::io;
@@ -19,7 +19,7 @@
 use crate::broken_runs::Run;
 use crate::protocol::{AnswerHead, EngineUrgency, Protocol, RequestBody, RequestHead, SendFacts, SendStage};
 
-/// A request as it is sent on.
+/// A request as it is forwarded.
 pub struct Sent<'a> {
     /// The method, unchanged.
     pub method: &'a Method,
@@ -27,55 +27,55 @@
     pub target: &'a Uri,
     /// The caller's headers without those that concern only its connection.
     pub headers: &'a HeaderMap,
-    /// The whole body, unchanged.
+    /// The complete body, unchanged.
     pub body: Bytes,
-    /// What the head says.
+    /// The parsed head.
     pub head: &'a RequestHead,
-    /// The part that is sent.
+    /// The stage that the back end is to run.
     pub stage: &'a SendStage,
-    /// An engine that keeps a part of the prompt.
+    /// An engine that caches a part of the prompt.
     pub cache_peer: Option<Address>,
-    /// Who goes first at the back end.
+    /// The scheduling priority at the back end.
     pub urgency: Option<EngineUrgency>,
-    /// Whose request it is.
+    /// The tenant that the request belongs to.
     pub tenant: Option<&'a TenantName>,
-    /// When the answer must have come.
+    /// The deadline of the answer.
     pub ends_at: Timestamp,
-    /// What `ends_at` is read on.
+    /// The clock that `ends_at` refers to.
     pub clock: Clock,
 }
 
 impl Sent<'_> {
-    /// How long the answer may still take.
+    /// The time left until the deadline.
     fn time_left(&self) -> Duration {
         self.ends_at.since(self.clock.now())
     }
 }
 
-/// An answer whose head has come.
+/// An answer whose head has been received.
 pub struct AnswerInProgress {
-    /// The head and the body as it comes.
+    /// The head, and the body as it is received.
     pub response: Response<Incoming>,
-    /// What the head proves.
+    /// What the head proves about the request.
     pub judgement: AnswerHead,
-    /// What it says of the back end itself.
+    /// The back end's notice about itself.
     pub notice: BackEndNotice,
-    /// The connection that the body comes over.
+    /// The connection that carries the body.
     pub lease: Lease,
-    /// Counts the request as under way.
+    /// Counts the request as in flight.
     pub in_flight: InFlight,
     /// The request's run at the back end.
     pub run: Run,
 }
 
-/// Why there is no answer.
+/// Why a send got no answer.
 #[derive(Clone, Debug, displaydoc::Display, thiserror::Error)]
 pub enum SendFailure {
-    /// no time left to send it
+    /// no time left to send the request
     NoTime,
     /// not sent: {0}
     NotSent(String),
-    /// not a sign from the back end: {0}
+    /// no acknowledgement from the back end: {0}
     Silent(String),
     /// no answer: {0}
     Lost(String),
@@ -84,8 +84,8 @@
 }
 
 impl SendFailure {
-    /// Whether other nodes are to be told, for a send of this stage: the back end can't be reached, or has broken off its own
-    /// work on a prompt. An answer that was lost, or did not come in time, may say as much of the link or of the load.
+    /// Whether a failed send of this stage is announced to peers: the back end can't be reached, or has interrupted its
+    /// own prefill. A lost or late answer may be due to the link or the load just as well.
     pub fn should_warn_peers(&self, stage: &SendStage) -> bool {
         match self {
             SendFailure::NotSent(_) | SendFailure::Silent(_) => true,
@@ -98,8 +98,8 @@
 /// Sends a request to `back_end` and waits for the head of the answer.
 ///
 /// # Errors
-/// When there is no answer; only [`SendFailure::NotSent`] and [`SendFailure::NoTime`] prove that the back end has not seen
-/// the request.
+/// When there is no answer; only [`SendFailure::NotSent`] and [`SendFailure::NoTime`] prove that the back end has not
+/// received the request.
 pub async fn send<P: Protocol>(
     protocol: &P,
     pool: &ConnectionPool,
@@ -109,17 +109,17 @@
     run: Run,
 ) -> Result<AnswerInProgress, SendFailure> {
     let mut lease = pool.lease(back_end).await.map_err(|error| SendFailure::NotSent(error.to_string()))?;
-    let outgoing = assemble(protocol, back_end, request)?;
+    let outgoing = build_request(protocol, back_end, request)?;
     let Some(sender) = lease.sender() else {
-        return Err(SendFailure::NotSent("the connection is gone".to_owned()));
+        return Err(SendFailure::NotSent("the connection is closed".to_owned()));
     };
     let answer = match timeout(request.time_left(), sender.try_send_request(outgoing)).await {
         Err(_) => return Err(SendFailure::TimedOut),
         Ok(Err(mut error)) => {
-            let unsent = error.take_message().is_some();
+            let is_unsent = error.take_message().is_some();
             let error = error.into_error();
             let text = error.to_string();
-            return Err(match unsent {
+            return Err(match is_unsent {
                 true => SendFailure::NotSent(text),
                 false if is_unacknowledged(&error) => SendFailure::Silent(text),
                 false => SendFailure::Lost(text),
@@ -128,14 +128,14 @@
         Ok(Ok(response)) => response,
     };
     if let Some(seconds) = keep_alive_seconds(answer.headers()) {
-        lease.allow_rest(seconds);
+        lease.apply_keep_alive(seconds);
     }
     let judgement = protocol.judge(&request.head.id, answer.status(), answer.headers());
     let notice = protocol.read_notice(&request.head.id, answer.status(), answer.headers());
     Ok(AnswerInProgress { response: answer, judgement, notice, lease, in_flight, run })
 }
 
-fn assemble<P: Protocol>(
+fn build_request<P: Protocol>(
     protocol: &P,
     back_end: &BackEnd,
     request: &Sent<'_>,
@@ -160,7 +160,8 @@
     Ok(outgoing)
 }
 
-/// Whether a connection failed since its other end acknowledged nothing any more: a machine without power, or behind a cut.
+/// Whether a connection failed because the remote end stopped acknowledging data: its machine lost power or is
+/// partitioned.
 pub fn is_unacknowledged(error: &hyper::Error) -> bool {
     let cause = error.source().and_then(|source| source.downcast_ref::<io::Error>());
     cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut)
--- a/crates/relay/src/metrics/labels.rs
+++ b/crates/relay/src/metrics/labels.rs
@@ -1,15 +1,15 @@
-//! What tells the values of one metric apart.
+//! Label sets of the metrics.
 
 use prometheus_client::encoding::EncodeLabelSet;
 
 /// Labels of a request's end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EndLabels {
-    /// The route; empty when none was found.
+    /// The route; empty when no route matched.
     pub route: String,
     /// How the request ended.
     pub outcome: &'static str,
-    /// Why.
+    /// The cause of the outcome.
     pub cause: &'static str,
 }
 
@@ -18,7 +18,7 @@
 pub struct SendLabels {
     /// The service.
     pub service: String,
-    /// What was sent: a prompt to be read, or a request to be answered.
+    /// The stage that was sent: a prefill, or a request to be answered.
     pub stage: &'static str,
     /// How the send ended.
     pub outcome: &'static str,
@@ -27,30 +27,30 @@
 /// Labels of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreLabels {
-    /// What was asked for.
+    /// The operation.
     pub call: &'static str,
     /// How the call ended.
     pub outcome: &'static str,
 }
 
-/// Labels of a service's budget.
+/// Labels of a service's repeat budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabel {
     /// The service.
     pub service: String,
 }
 
-/// Labels of a run that a back end broke off.
+/// Labels of a run that a back end interrupted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct BrokenRunLabel {
-    /// What has become of the back end.
+    /// The later state of the back end.
     pub back_end: &'static str,
 }
 
-/// Labels of a request under which engines ended.
+/// Labels of a request under which engines terminated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct SuspectLabel {
-    /// What became of it.
+    /// The outcome of the request.
     pub outcome: &'static str,
 }
 
@@ -61,30 +61,30 @@
     pub route: String,
 }
 
-/// What a message between nodes is about.
+/// The subject of a message between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NodeMessageKind {
-    /// Prompts that are read.
+    /// Prefills in progress.
     Prefills,
-    /// What engines keep, for nodes that have just started.
+    /// Cached parts of engines, for nodes that have just started.
     CachedParts,
-    /// Which versions nodes have.
+    /// The versions that a node has.
     Digest,
-    /// Configuration and directory.
+    /// Updates of the configuration and the directory.
     Feed,
-    /// What callers ask of engines.
+    /// The callers' demand on engines.
     Demand,
     /// Engines that change their stage.
     Stages,
-    /// What callers have used.
+    /// The callers' usage.
     Usage,
     /// Back ends that could not be reached.
     Unreachable,
-    /// Engines that ended while they ran requests.
+    /// Engines that terminated while running requests.
     Terminations,
-    /// Back ends that said that they leave.
+    /// Draining back ends.
     Draining,
-    /// What back ends in need take.
+    /// Rate limits of overloaded back ends.
     Limits,
 }
 
@@ -109,21 +109,21 @@
 /// Labels of messages between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct MessageLabel {
-    /// What they are about.
+    /// The subject of the messages.
     pub kind: &'static str,
 }
 
 /// Labels of an estimate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EstimateLabel {
-    /// What is estimated.
+    /// The name of the estimated quantity.
     pub name: &'static str,
 }
 
 /// Labels of changes of engines' stages.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StageChangeLabels {
-    /// The stage that was to be served.
+    /// The stage that the engine was to serve.
     pub to: &'static str,
     /// How the change ended.
     pub outcome: &'static str,
@@ -136,7 +136,7 @@
     pub answer: &'static str,
 }
 
-/// Labels of calls of duties.
+/// Labels of calls that duties make.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DutyLabels {
     /// The duty.
@@ -145,23 +145,23 @@
     pub answer: &'static str,
 }
 
-/// Labels of what back ends say of themselves in answers.
+/// Labels of notices that back ends send about themselves in answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct NoticeLabel {
-    /// What they say.
+    /// The kind of notice.
     pub notice: &'static str,
 }
 
-/// Labels of what was told by somebody.
+/// Labels of updates by their source.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct SourceLabel {
-    /// Who told it.
+    /// The source of the update.
     pub source: &'static str,
 }
 
 /// Labels of messages that were dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DropLabel {
-    /// Why.
+    /// The reason for dropping them.
     pub cause: &'static str,
 }
--- a/crates/relay/src/metrics/mod.rs
+++ b/crates/relay/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! What a relaying node counts, for Prometheus.
+//! Prometheus metrics of a relaying node.
 
 mod labels;
 
@@ -29,20 +29,20 @@
 /// Upper bounds of the latency histograms, in seconds.
 const LATENCY_BUCKETS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0];
 
-/// What a node holds at the moment that its metrics are read.
+/// The values of gauges that are set when the metrics are read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeState {
-    /// Callers' requests that are open.
+    /// Open requests of callers.
     pub open_requests: usize,
-    /// Connections to back ends.
+    /// Open connections to back ends.
     pub connections: u32,
-    /// How long ago the directory was confirmed; `None`: never.
+    /// The time since the directory was last confirmed; `None` if it never was.
     pub directory_age: Option<Duration>,
-    /// The repeats that are left for each service.
+    /// The remaining repeats of each service's budget.
     pub repeats_left: Vec<(ServiceName, f64)>,
-    /// By how much more than expected late prompts take to be read.
+    /// The factor by which late prefills exceed their expected time.
     pub late_stretch: f64,
-    /// Requests that are sent to no engine, since engines ended under them.
+    /// Requests that are blocked because engines terminated while running them.
     pub blocked_contents: usize,
 }
 
@@ -56,19 +56,19 @@
     broken_runs: Family<BrokenRunLabel, Counter>,
     suspects: Family<SuspectLabel, Counter>,
     notices: Family<NoticeLabel, Counter>,
-    unwelcome_sends: Family<NoticeLabel, Counter>,
-    blocked: Gauge,
-    spoiled_entries: Counter,
-    new_lives: Counter,
-    old_news: Family<SourceLabel, Counter>,
-    store_backs: Counter,
+    ineligible_sends: Family<NoticeLabel, Counter>,
+    blocked_contents: Gauge,
+    malformed_entries: Counter,
+    new_incarnations: Counter,
+    outdated_updates: Family<SourceLabel, Counter>,
+    store_restores: Counter,
     era: Gauge,
     store_calls: Family<StoreLabels, Counter>,
     node_messages: Family<MessageLabel, Counter>,
     node_bytes: Family<MessageLabel, Counter>,
     dropped_messages: Family<DropLabel, Counter>,
-    took: Latencies,
-    first: Latencies,
+    request_seconds: Latencies,
+    first_piece_seconds: Latencies,
     configuration: Gauge,
     directory: Gauge,
     nodes: Gauge,
@@ -85,14 +85,14 @@
     stage_change_seconds: Counter<f64, AtomicU64>,
 }
 
-/// The metrics of a node. Copies share them.
+/// The metrics of a node. Clones share them.
 #[derive(Clone)]
 pub struct RelayMetrics {
     metrics: Arc<Metrics>,
 }
 
 impl RelayMetrics {
-    /// Metrics that all start at zero.
+    /// Creates the metrics, all of them zero.
     pub fn new() -> Self {
         let latencies: fn() -> Histogram = || Histogram::new(LATENCY_BUCKETS);
         let mut metrics = Metrics {
@@ -103,19 +103,19 @@
             broken_runs: Family::default(),
             suspects: Family::default(),
             notices: Family::default(),
-            unwelcome_sends: Family::default(),
-            blocked: Gauge::default(),
-            spoiled_entries: Counter::default(),
-            new_lives: Counter::default(),
-            old_news: Family::default(),
-            store_backs: Counter::default(),
+            ineligible_sends: Family::default(),
+            blocked_contents: Gauge::default(),
+            malformed_entries: Counter::default(),
+            new_incarnations: Counter::default(),
+            outdated_updates: Family::default(),
+            store_restores: Counter::default(),
             era: Gauge::default(),
             store_calls: Family::default(),
             node_messages: Family::default(),
             node_bytes: Family::default(),
             dropped_messages: Family::default(),
-            took: Family::new_with_constructor(latencies),
-            first: Family::new_with_constructor(latencies),
+            request_seconds: Family::new_with_constructor(latencies),
+            first_piece_seconds: Family::new_with_constructor(latencies),
             configuration: Gauge::default(),
             directory: Gauge::default(),
             nodes: Gauge::default(),
@@ -152,24 +152,24 @@
         );
         let notices = metrics.notices.clone();
         registry.register("back_end_notices", "What back ends said of themselves and was not known before", notices);
-        let unwelcome = metrics.unwelcome_sends.clone();
-        registry.register("unwelcome_sends", "Sends that the back end's own word speaks against", unwelcome);
+        let ineligible = metrics.ineligible_sends.clone();
+        registry.register("unwelcome_sends", "Sends that the back end's own word speaks against", ineligible);
         registry.register(
             "blocked_contents",
             "Requests that are sent to no engine, since engines ended under them",
-            metrics.blocked.clone(),
+            metrics.blocked_contents.clone(),
         );
-        let spoiled = metrics.spoiled_entries.clone();
-        registry.register("spoiled_entries", "Entries of back ends that name none, as they were told", spoiled);
-        let lives = metrics.new_lives.clone();
-        registry.register("new_lives", "Back ends that were seen to have started again under their name", lives);
-        let old_news = metrics.old_news.clone();
-        registry.register("directory_news_old", "News of the directory that were older than it, by who told", old_news);
-        let backs = metrics.store_backs.clone();
+        let malformed = metrics.malformed_entries.clone();
+        registry.register("spoiled_entries", "Entries of back ends that name none, as they were told", malformed);
+        let incarnations = metrics.new_incarnations.clone();
+        registry.register("new_lives", "Back ends that were seen to have started again under their name", incarnations);
+        let outdated = metrics.outdated_updates.clone();
+        registry.register("directory_news_old", "News of the directory that were older than it, by who told", outdated);
+        let restores = metrics.store_restores.clone();
         registry.register(
             "store_went_back",
             "Times that the directory became one of an older copy of the store",
-            backs,
+            restores,
         );
         registry.register("store_era", "The era of the directory; 0: none is told", metrics.era.clone());
         registry.register("store_calls", "Calls to the store, by how they ended", metrics.store_calls.clone());
@@ -177,8 +177,12 @@
         registry.register("node_bytes", "Bytes sent to other nodes, by kind", metrics.node_bytes.clone());
         let dropped = metrics.dropped_messages.clone();
         registry.register("dropped_messages", "Messages between nodes that were dropped, by cause", dropped);
-        registry.register("request_seconds", "From arrival to the end of the answer", metrics.took.clone());
-        registry.register("first_piece_seconds", "From arrival to the first piece", metrics.first.clone());
+        registry.register("request_seconds", "From arrival to the end of the answer", metrics.request_seconds.clone());
+        registry.register(
+            "first_piece_seconds",
+            "From arrival to the first piece",
+            metrics.first_piece_seconds.clone(),
+        );
         registry.register("configuration_version", "The configuration in force", metrics.configuration.clone());
         registry.register("directory_revision", "The revision of the directory", metrics.directory.clone());
         registry.register("nodes", "Nodes that share the budgets", metrics.nodes.clone());
@@ -206,7 +210,7 @@
         RelayMetrics { metrics: Arc::new(metrics) }
     }
 
-    /// Counts the end of a change of an engine's stage that took so long.
+    /// Counts the end of a change of an engine's stage and adds its duration.
     pub fn record_stage_change(&self, to: &'static str, outcome: &'static str, took: Duration) {
         self.metrics.stage_changes.get_or_create(&StageChangeLabels { to, outcome }).inc();
         self.metrics.stage_change_seconds.inc_by(took.as_secs_f64());
@@ -217,12 +221,12 @@
         self.metrics.stage_orders.get_or_create(&StageOrderLabel { answer }).inc();
     }
 
-    /// Counts a call of a duty.
+    /// Counts a call that a duty made.
     pub fn record_duty_call(&self, duty: &'static str, answer: &'static str) {
         self.metrics.duty_calls.get_or_create(&DutyLabels { duty, answer }).inc();
     }
 
-    /// Counts the end of a request.
+    /// Counts the end of a request and records its latencies.
     pub fn record_end(
         &self,
         route: &str,
@@ -234,9 +238,9 @@
         let labels = EndLabels { route: route.to_owned(), outcome, cause };
         self.metrics.ends.get_or_create(&labels).inc();
         let label = RouteLabel { route: route.to_owned() };
-        self.metrics.took.get_or_create(&label).observe(took.as_secs_f64());
+        self.metrics.request_seconds.get_or_create(&label).observe(took.as_secs_f64());
         if let Some(first) = first {
-            self.metrics.first.get_or_create(&label).observe(first.as_secs_f64());
+            self.metrics.first_piece_seconds.get_or_create(&label).observe(first.as_secs_f64());
         }
     }
 
@@ -251,24 +255,24 @@
         self.metrics.repeats.get_or_create(&label).inc_by(u64::from(repeats));
     }
 
-    /// Counts runs that one back end broke off, and what has become of it.
+    /// Counts runs that one back end interrupted, by the later state of the back end.
     pub fn record_broken_runs(&self, back_end: &'static str, runs: usize) {
         self.metrics.broken_runs.get_or_create(&BrokenRunLabel { back_end }).inc_by(runs as u64);
     }
 
-    /// Counts a request under which engines ended, and what became of it.
+    /// Counts a request under which engines terminated, by its outcome.
     pub fn record_suspect(&self, outcome: &'static str) {
         self.metrics.suspects.get_or_create(&SuspectLabel { outcome }).inc();
     }
 
-    /// Counts something that a back end said of itself and that was not known before.
+    /// Counts a notice of a back end about itself that was not known before.
     pub fn record_notice(&self, notice: &'static str) {
         self.metrics.notices.get_or_create(&NoticeLabel { notice }).inc();
     }
 
-    /// Counts a send that the back end's own word speaks against.
+    /// Counts a send to a back end that is ineligible by its own notice.
     pub fn record_ineligible_send(&self, notice: &'static str) {
-        self.metrics.unwelcome_sends.get_or_create(&NoticeLabel { notice }).inc();
+        self.metrics.ineligible_sends.get_or_create(&NoticeLabel { notice }).inc();
     }
 
     /// Counts a call to the store.
@@ -288,24 +292,24 @@
         self.metrics.node_bytes.get_or_create(&MessageLabel { kind: kind.code() }).get()
     }
 
-    /// Counts entries of back ends that name none.
+    /// Counts malformed directory entries, which name no back end.
     pub fn record_malformed_entries(&self, count: usize) {
-        self.metrics.spoiled_entries.inc_by(count as u64);
+        self.metrics.malformed_entries.inc_by(count as u64);
     }
 
-    /// Counts a back end that has started again under its name.
+    /// Counts a new incarnation of a back end under the same name.
     pub fn record_new_incarnation(&self) {
-        self.metrics.new_lives.inc();
+        self.metrics.new_incarnations.inc();
     }
 
-    /// Counts that the directory became one of an older copy of the store.
+    /// Counts a directory that is restored from an older snapshot of the store.
     pub fn record_store_restore(&self) {
-        self.metrics.store_backs.inc();
+        self.metrics.store_restores.inc();
     }
 
-    /// Counts news of the directory that were older than it.
+    /// Counts an update of the directory that is older than the directory.
     pub fn record_outdated_update(&self, source: &'static str) {
-        self.metrics.old_news.get_or_create(&SourceLabel { source }).inc();
+        self.metrics.outdated_updates.get_or_create(&SourceLabel { source }).inc();
     }
 
     /// Counts a message between nodes that was dropped.
@@ -313,7 +317,7 @@
         self.metrics.dropped_messages.get_or_create(&DropLabel { cause }).inc();
     }
 
-    /// Sets what the node knows.
+    /// Sets the versions of the configuration and the directory, and the number of nodes.
     pub fn set_knowledge(&self, configuration: u64, directory: Position, nodes: u32) {
         let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         self.metrics.configuration.set(gauge(configuration));
@@ -322,21 +326,21 @@
         self.metrics.nodes.set(i64::from(nodes));
     }
 
-    /// Sets what the node holds now.
+    /// Sets the gauges of the node's current state.
     pub fn set_state(&self, state: &NodeState) {
         self.metrics.open_requests.set(i64::try_from(state.open_requests).unwrap_or(i64::MAX));
         self.metrics.connections.set(i64::from(state.connections));
         let age = state.directory_age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
         self.metrics.directory_age_millis.set(age);
         self.metrics.late_stretch.set(state.late_stretch);
-        self.metrics.blocked.set(i64::try_from(state.blocked_contents).unwrap_or(i64::MAX));
+        self.metrics.blocked_contents.set(i64::try_from(state.blocked_contents).unwrap_or(i64::MAX));
         for (service, left) in &state.repeats_left {
             let label = ServiceLabel { service: service.to_string() };
             self.metrics.repeats_left.get_or_create(&label).set(*left as i64);
         }
     }
 
-    /// Sets what is believed of engines.
+    /// Sets the estimates about engines.
     pub fn set_estimates(&self, model: &EngineModel, now: Timestamp) {
         for (name, estimate) in model.estimates(now) {
             let label = EstimateLabel { name };
@@ -345,7 +349,7 @@
         }
     }
 
-    /// The metrics in Prometheus's text format.
+    /// Encodes the metrics in Prometheus's text format.
     ///
     /// # Errors
     /// When a metric can't be written as text.
--- a/crates/relay/src/peer_notices/announcements.rs
+++ b/crates/relay/src/peer_notices/announcements.rs
@@ -1,4 +1,4 @@
-//! What a node tells its peers of readings and back ends, and what it takes in from them.
+//! Announcements to peers about prefills and back ends, and the handling of those that peers send.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,40 +14,41 @@
 use super::PeerNotices;
 use crate::metrics::NodeMessageKind;
 
-/// The peers that are told of each reading: all, up to the size that is designed for. Long prompts are few, and a node
-/// that doesn't hear of a reading sends the next prompt behind it.
-const PEERS_TOLD_MAXIMUM: usize = 400;
+/// The most peers that receive each prefill notice: all of them, up to the cluster size that the system is designed
+/// for. Long prompts are few, and a node that does not learn of a prefill queues the next prompt behind it.
+const NOTIFIED_PEERS_MAXIMUM: usize = 400;
 
-/// The parts of one engine that a node that has just started is told: a message of more bytes than fit would be lost, and
-/// an engine keeps some thirty parts of long prompts.
-const KEPT_PARTS_TOLD: usize = 50;
+/// The most cached parts of one engine that are sent to a node that has just started. A message that exceeds the size
+/// of a datagram would be lost, and an engine caches about thirty parts of long prompts.
+const ANNOUNCED_PARTS_MAXIMUM: usize = 50;
 
 /// The pause between two notices of back ends that could not be reached.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(200);
 
-/// The pause between two notices of engines that ended: what happens meanwhile is told together.
-const ENDS_PAUSE: Duration = Duration::from_millis(100);
+/// The pause between two notices of engine terminations. Terminations during the pause are announced together.
+const TERMINATIONS_PAUSE: Duration = Duration::from_millis(100);
 
-/// How often each node tells a few peers which requests are blocked, and how many: in 3 s a node hears of it from some six.
-const BLAME_PAUSE: Duration = Duration::from_secs(1);
-const BLAME_PEERS: usize = 2;
+/// How often each node announces the blocked requests, and to how many peers: in 3 s, a node receives them from about
+/// six peers.
+const ATTRIBUTIONS_PAUSE: Duration = Duration::from_secs(1);
+const ATTRIBUTIONS_PEERS: usize = 2;
 
-/// The pause between two notices of back ends that leave: what is heard meanwhile is told together.
-const LEAVING_PAUSE: Duration = Duration::from_millis(200);
+/// The pause between two notices of draining back ends. Back ends learned of during the pause are announced together.
+const DRAINING_PAUSE: Duration = Duration::from_millis(200);
 
-/// How often each node tells one peer of the back ends that leave, for as long as one of them said so within
-/// [`LEAVING_TOLD_FOR`]. With 330 nodes one that missed the first notice has heard of it after 3 s in 19 of 20 cases, and 4,100 back ends that
-/// are replaced in a day cost a node 50 bytes a second.
-const LEAVING_AGAIN_PAUSE: Duration = Duration::from_secs(1);
+/// How often each node sends the draining back ends to one peer, while any of them announced its drain within
+/// [`DRAINING_REPEATED_FOR`]. With 330 nodes, a node that missed the first notice has received it after 3 s in 19 of 20
+/// cases, and 4,100 back ends replaced per day cost a node 50 bytes per second.
+const DRAINING_REPEAT_PAUSE: Duration = Duration::from_secs(1);
 
-/// How long a back end that leaves is told again: as long as it goes on serving, mostly.
-const LEAVING_TOLD_FOR: Duration = Duration::from_secs(10);
+/// How long a draining back end is announced again: in most cases as long as it keeps serving.
+const DRAINING_REPEATED_FOR: Duration = Duration::from_secs(10);
 
-/// How long a finished reading waits at most to be told once more.
-const REPEAT_PAUSE: Duration = Duration::from_millis(200);
+/// The longest time that a finished prefill waits for its repeated announcement.
+const PREFILL_REPEAT_PAUSE: Duration = Duration::from_millis(200);
 
 impl PeerNotices {
-    /// Takes in what a peer tells.
+    /// Handles a message from a peer.
     pub(super) async fn receive(&self, message: PeerNotice) {
         let now = self.shared.clock.now();
         match message {
@@ -66,31 +67,32 @@
                 }
             }
             PeerNotice::Unreachable(notice) => self.shared.suspicions.borrow_mut().receive(&notice, now),
-            PeerNotice::Ends(notice) => self.shared.engine_ends.receive(&notice),
-            PeerNotice::Leaving(notice) => self.learn_leaving(&notice),
-            PeerNotice::Limits(notice) => self.learn_limits(notice),
+            PeerNotice::Ends(notice) => self.shared.engine_terminations.receive(&notice),
+            PeerNotice::Leaving(notice) => self.apply_drain_notice(&notice),
+            PeerNotice::Limits(notice) => self.apply_limit_notice(notice),
             PeerNotice::AskKept { sender } => {
-                self.tell_blame(sender).await;
-                let leaving = self.shared.notices.lock().newest(now);
-                self.send_leaving(leaving, &[sender]).await;
-                self.tell_some_limits(sender).await;
+                self.send_attributions(sender).await;
+                let draining = self.shared.notices.lock().newest(now);
+                self.send_drains(draining, &[sender]).await;
+                self.send_some_limits(sender).await;
                 let knowledge = self.shared.knowledge.load_full();
                 let engines = knowledge.directory.entries().map(|entry| &entry.back_end.id);
-                let kept: Vec<CachedParts> = self.shared.index.borrow().kept_parts(engines, KEPT_PARTS_TOLD).collect();
-                for kept in kept {
-                    self.send(&PeerNotice::Kept(kept), NodeMessageKind::CachedParts, &[sender]).await;
+                let cached_by_engine: Vec<CachedParts> =
+                    self.shared.index.borrow().kept_parts(engines, ANNOUNCED_PARTS_MAXIMUM).collect();
+                for cached in cached_by_engine {
+                    self.send(&PeerNotice::Kept(cached), NodeMessageKind::CachedParts, &[sender]).await;
                 }
             }
-            PeerNotice::Kept(kept) => {
-                let (engine, parts) = (kept.engine.clone(), kept.parts.len());
+            PeerNotice::Kept(cached) => {
+                let (engine, parts) = (cached.engine.clone(), cached.parts.len());
                 log::debug!(event = "kept_parts_told", back_end:% = engine, parts; "");
-                self.shared.index.borrow_mut().adopt_kept(kept, now);
+                self.shared.index.borrow_mut().adopt_kept(cached, now);
             }
         }
     }
 
-    /// Tells peers for ever of back ends that could not be reached.
-    pub(super) async fn tell_unreachable(self) {
+    /// Announces unreachable back ends to all peers; never returns.
+    pub(super) async fn announce_unreachable(self) {
         loop {
             self.shared.unreachable.notified().await;
             let now = self.shared.clock.now();
@@ -105,105 +107,108 @@
         }
     }
 
-    /// Tells peers for ever of engines that ended while they ran requests.
-    pub(super) async fn tell_ends(self) {
+    /// Announces engines that terminated while running requests to all peers; never returns.
+    pub(super) async fn announce_terminations(self) {
         loop {
-            self.shared.engine_ends.wait_for_news().await;
-            if let Some(notice) = self.sender().and_then(|sender| self.shared.engine_ends.notice(sender)) {
+            self.shared.engine_terminations.wait_for_news().await;
+            if let Some(notice) = self.sender().and_then(|sender| self.shared.engine_terminations.notice(sender)) {
                 let peers = Arc::clone(&self.shared.knowledge.load().peers);
                 self.send(&PeerNotice::Ends(notice), NodeMessageKind::Terminations, &peers).await;
             }
-            sleep(ENDS_PAUSE).await;
+            sleep(TERMINATIONS_PAUSE).await;
         }
     }
 
-    /// Tells a few peers for ever which requests engines have ended under: one that was cut off, or stood still, when that was
-    /// told would send each of them on.
-    pub(super) async fn tell_blame_again(self) {
+    /// Sends a few peers the requests that engine terminations are attributed to; never returns. A peer that was
+    /// partitioned or suspended during the first announcement would otherwise forward each of these requests.
+    pub(super) async fn repeat_attributions(self) {
         loop {
-            sleep(BLAME_PAUSE).await;
-            for peer in self.some_peers(BLAME_PEERS) {
-                self.tell_blame(peer).await;
+            sleep(ATTRIBUTIONS_PAUSE).await;
+            for peer in self.random_peers(ATTRIBUTIONS_PEERS) {
+                self.send_attributions(peer).await;
             }
         }
     }
 
-    /// Peers that are told or asked something that need not reach all.
-    pub(super) fn some_peers(&self, count: usize) -> Vec<Address> {
+    /// Randomly chosen peers, for messages that need not reach all.
+    pub(super) fn random_peers(&self, count: usize) -> Vec<Address> {
         let mut peers = (*self.shared.knowledge.load().peers).clone();
         fastrand::shuffle(&mut peers);
         peers.truncate(count);
         peers
     }
 
-    /// Tells a node which requests engines have ended under.
-    async fn tell_blame(&self, receiver: Address) {
-        let notice = self.sender().and_then(|sender| self.shared.engine_ends.known_blame(sender));
+    /// Sends a node the requests that engine terminations are attributed to.
+    async fn send_attributions(&self, receiver: Address) {
+        let notice = self.sender().and_then(|sender| self.shared.engine_terminations.known_blame(sender));
         if let Some(notice) = notice {
             self.send(&PeerNotice::Ends(notice), NodeMessageKind::Terminations, &[receiver]).await;
         }
     }
 
-    /// Takes in which back ends told a peer that they leave.
-    fn learn_leaving(&self, notice: &DrainNotice) {
-        let news = self.shared.notices.lock().receive(notice, self.shared.clock.now());
-        for back_end in news {
+    /// Applies a peer's notice of draining back ends.
+    fn apply_drain_notice(&self, notice: &DrainNotice) {
+        let newly_draining = self.shared.notices.lock().receive(notice, self.shared.clock.now());
+        for back_end in newly_draining {
             self.shared.metrics.record_notice("leaves");
             log::info!(event = "back_end_leaves", back_end:% = back_end, told_by = "peer"; "");
         }
     }
 
-    /// Tells peers for ever of back ends that told this node that they leave: while the store is away nobody else tells them, and with many
-    /// nodes most have sent such a back end nothing lately that it could have answered.
-    pub(super) async fn tell_leaving(self) {
+    /// Announces back ends that reported their drain to this node to all peers; never returns. While the store is
+    /// unavailable, peers have no other source; with many nodes, most have not sent such a back end a request recently
+    /// that it could have answered.
+    pub(super) async fn announce_drains(self) {
         loop {
-            let untold = self.shared.leaving.take(DrainNotice::BACK_ENDS_MAXIMUM).await;
-            let told = self.shared.notices.lock().told(&untold, self.shared.clock.now());
+            let pending = self.shared.pending_drains.take(DrainNotice::BACK_ENDS_MAXIMUM).await;
+            let draining = self.shared.notices.lock().told(&pending, self.shared.clock.now());
             let peers = Arc::clone(&self.shared.knowledge.load().peers);
-            self.send_leaving(told, &peers).await;
-            sleep(LEAVING_PAUSE).await;
+            self.send_drains(draining, &peers).await;
+            sleep(DRAINING_PAUSE).await;
         }
     }
 
-    /// Tells a peer now and then of the back ends that leave, for ever: a notice may be lost, and a node that was cut off heard none.
-    pub(super) async fn tell_leaving_again(self) {
+    /// Sends the draining back ends to one peer at intervals; never returns. A notice may be lost, and a partitioned
+    /// node receives none.
+    pub(super) async fn repeat_drains(self) {
         loop {
-            sleep(LEAVING_AGAIN_PAUSE).await;
-            let mut told = self.shared.notices.lock().newest(self.shared.clock.now());
-            told.retain(|told| u128::from(told.age_millis) < LEAVING_TOLD_FOR.as_millis());
-            self.send_leaving(told, &self.some_peers(1)).await;
+            sleep(DRAINING_REPEAT_PAUSE).await;
+            let mut draining = self.shared.notices.lock().newest(self.shared.clock.now());
+            draining.retain(|back_end| u128::from(back_end.age_millis) < DRAINING_REPEATED_FOR.as_millis());
+            self.send_drains(draining, &self.random_peers(1)).await;
         }
     }
 
-    async fn send_leaving(&self, back_ends: Vec<DrainingBackEnd>, receivers: &[Address]) {
+    async fn send_drains(&self, back_ends: Vec<DrainingBackEnd>, receivers: &[Address]) {
         if let Some(sender) = self.sender().filter(|_| !back_ends.is_empty()) {
             let notice = PeerNotice::Leaving(DrainNotice { sender, back_ends });
             self.send(&notice, NodeMessageKind::Draining, receivers).await;
         }
     }
 
-    /// Tells peers of news for ever: at once while that is cheap, else together and as often as the pace allows.
-    pub(super) async fn tell_at_pace(self, config: AnnouncementPaceConfig) {
+    /// Announces changes of open prefills to peers, at once while that is cheap, otherwise batched at the rate that the
+    /// pace allows; never returns.
+    pub(super) async fn announce_prefills(self, config: AnnouncementPaceConfig) {
         let mut pace = AnnouncementPace::new(config, self.shared.clock.now());
         loop {
-            while !self.shared.has_news.get() && !self.shared.index.borrow().has_untold() {
-                self.shared.news.notified().await;
+            while !self.shared.has_pending_changes.get() && !self.shared.index.borrow().has_untold() {
+                self.shared.prefill_changes.notified().await;
             }
             let wait = pace.wait(self.shared.clock.now());
             if !wait.is_zero() {
                 sleep(wait).await;
             }
-            let sent = self.tell_peers().await;
+            let sent = self.send_prefills().await;
             pace.spend(sent, self.shared.clock.now());
-            // What is told a second time, against loss, goes with later news or after a while.
-            if !self.shared.has_news.get() && self.shared.index.borrow().has_untold() {
-                let _ = timeout(REPEAT_PAUSE, self.shared.news.notified()).await;
+            // The repeated announcement, which guards against loss, is sent with later changes or after a pause.
+            if !self.shared.has_pending_changes.get() && self.shared.index.borrow().has_untold() {
+                let _ = timeout(PREFILL_REPEAT_PAUSE, self.shared.prefill_changes.notified()).await;
             }
         }
     }
 
-    async fn tell_peers(&self) -> usize {
-        self.shared.has_news.set(false);
+    async fn send_prefills(&self) -> usize {
+        self.shared.has_pending_changes.set(false);
         let Some(sender) = self.sender() else {
             return 0;
         };
@@ -211,7 +216,7 @@
         self.shared.sequence.set(sequence);
         let notice = self.shared.index.borrow_mut().notice(sender, sequence, self.shared.clock.now());
         let knowledge = self.shared.knowledge.load_full();
-        let receivers = &knowledge.peers[..knowledge.peers.len().min(PEERS_TOLD_MAXIMUM)];
+        let receivers = &knowledge.peers[..knowledge.peers.len().min(NOTIFIED_PEERS_MAXIMUM)];
         self.send(&PeerNotice::Notice(notice), NodeMessageKind::Prefills, receivers).await
     }
 }
--- a/crates/relay/src/peer_notices/limits.rs
+++ b/crates/relay/src/peer_notices/limits.rs
@@ -1,4 +1,4 @@
-//! What a node tells its peers of back ends in need, and what it takes in from them.
+//! Announcements to peers about rate limits of overloaded back ends, and the handling of those that peers send.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use super::PeerNotices;
 use crate::metrics::NodeMessageKind;
 
-/// The pause between two notices of limits: what is heard meanwhile is told together.
+/// The pause between two notices of rate limits. Limits learned of during the pause are announced together.
 const LIMITS_PAUSE: Duration = Duration::from_millis(200);
 
-/// How often each node tells one peer of some limits: a limit counts for as long as it was heard of lately, and most of many nodes send a back end in need
-/// nothing that it could answer.
-const LIMITS_AGAIN_PAUSE: Duration = Duration::from_secs(1);
+/// How often each node sends some rate limits to one peer. A limit expires unless it is announced again, and with many
+/// nodes, most send an overloaded back end no request that it could answer.
+const LIMITS_REPEAT_PAUSE: Duration = Duration::from_secs(1);
 
 impl PeerNotices {
-    /// Takes over which nodes share the limits, and forgets those that nobody has heard of for long.
-    pub(super) fn share_limits(&self) {
+    /// Updates the nodes that share the rate limits, and removes limits that have not been announced for long.
+    pub(super) fn update_limit_sharing(&self) {
         let knowledge = self.shared.knowledge.load();
         let peers = (*knowledge.peers).clone();
         let nodes = SharingNodes { own: self.sender(), peers, count: knowledge.nodes };
@@ -29,10 +29,10 @@
         notices.limits.tidy(self.shared.clock.now());
     }
 
-    /// Takes in which limits back ends named to a peer.
-    pub(super) fn learn_limits(&self, notice: LimitNotice) {
-        let news = self.shared.notices.lock().limits.receive(notice, self.shared.clock.now());
-        for AnnouncedLimit { back_end, limit, .. } in news {
+    /// Applies a peer's notice of rate limits.
+    pub(super) fn apply_limit_notice(&self, notice: LimitNotice) {
+        let changes = self.shared.notices.lock().limits.receive(notice, self.shared.clock.now());
+        for AnnouncedLimit { back_end, limit, .. } in changes {
             match limit {
                 Some(limit) => {
                     self.shared.metrics.record_notice("limits");
@@ -43,32 +43,32 @@
         }
     }
 
-    /// Tells peers for ever of back ends that named a limit to this node, or none any more.
-    pub(super) async fn tell_limits(self) {
+    /// Announces rate limits that back ends reported to this node, and their ends, to all peers; never returns.
+    pub(super) async fn announce_limits(self) {
         loop {
-            let untold = self.shared.limits.take(LimitNotice::LIMITS_MAXIMUM).await;
-            let told = self.shared.notices.lock().limits.told(&untold, self.shared.clock.now());
+            let pending = self.shared.pending_limits.take(LimitNotice::LIMITS_MAXIMUM).await;
+            let announced = self.shared.notices.lock().limits.told(&pending, self.shared.clock.now());
             let peers = Arc::clone(&self.shared.knowledge.load().peers);
-            self.send_limits(told, &peers).await;
+            self.send_limits(announced, &peers).await;
             sleep(LIMITS_PAUSE).await;
         }
     }
 
-    /// Tells a peer now and then of limits, for ever.
-    pub(super) async fn tell_limits_again(self) {
+    /// Sends some rate limits to one peer at intervals; never returns.
+    pub(super) async fn repeat_limits(self) {
         loop {
-            sleep(LIMITS_AGAIN_PAUSE).await;
-            for peer in self.some_peers(1) {
-                self.tell_some_limits(peer).await;
+            sleep(LIMITS_REPEAT_PAUSE).await;
+            for peer in self.random_peers(1) {
+                self.send_some_limits(peer).await;
             }
         }
     }
 
-    /// Tells a peer of some limits.
-    pub(super) async fn tell_some_limits(&self, receiver: Address) {
+    /// Sends some rate limits to a peer.
+    pub(super) async fn send_some_limits(&self, receiver: Address) {
         let mut random = fastrand::Rng::new();
-        let told = self.shared.notices.lock().limits.some(&mut random, self.shared.clock.now());
-        self.send_limits(told, &[receiver]).await;
+        let announced = self.shared.notices.lock().limits.some(&mut random, self.shared.clock.now());
+        self.send_limits(announced, &[receiver]).await;
     }
 
     async fn send_limits(&self, limits: Vec<AnnouncedLimit>, receivers: &[Address]) {
--- a/crates/relay/src/peer_notices/mod.rs
+++ b/crates/relay/src/peer_notices/mod.rs
@@ -1,4 +1,4 @@
-//! The prompts that engines read now, as this node and its peers see it.
+//! The exchange of prefills, cached parts and the state of back ends with peers.
 
 mod announcements;
 mod limits;
@@ -19,17 +19,18 @@
 use havengate_node::clock::Clock;
 use tokio::sync::Notify;
 
-use self::pending::Untold;
+use self::pending::PendingAnnouncements;
 use crate::back_ends::SharedNotices;
 use crate::datagrams::Datagrams;
 use crate::engine_ends::SharedEngineTerminations;
 use crate::knowledge::SharedKnowledge;
 use crate::metrics::{NodeMessageKind, RelayMetrics};
 
-/// The peers that are asked at a time; one of them may have just started too.
-const PEERS_ASKED: usize = 2;
+/// The peers asked for cached parts at a time: more than one, since a peer may have just started too.
+const QUERIED_PEERS: usize = 2;
 
-/// The readings that this node and its peers know of. Copies share them.
+/// The prefills, cached parts and back-end notices known to this node and exchanged with its peers. Clones share the
+/// state.
 #[derive(Clone)]
 pub struct PeerNotices {
     shared: Rc<Shared>,
@@ -39,27 +40,27 @@
     index: RefCell<PromptIndex>,
     knowledge: SharedKnowledge,
     clock: Clock,
-    /// Where this node takes notices and sends its own, once it takes part in the exchange.
+    /// The address and the socket for notices, once this node takes part in the exchange.
     exchange: RefCell<Option<(Address, Datagrams)>>,
     sequence: Cell<u64>,
     metrics: RelayMetrics,
-    /// Whether open readings have changed since peers were told.
-    has_news: Cell<bool>,
-    /// Wakes the task that tells peers.
-    news: Notify,
+    /// Whether open prefills have changed since the last announcement.
+    has_pending_changes: Cell<bool>,
+    /// Wakes the task that announces prefills.
+    prefill_changes: Notify,
     suspicions: RefCell<Suspicions>,
-    /// Wakes the task that tells peers of back ends that could not be reached.
+    /// Wakes the task that announces unreachable back ends.
     unreachable: Notify,
-    engine_ends: SharedEngineTerminations,
+    engine_terminations: SharedEngineTerminations,
     notices: SharedNotices,
-    /// Back ends that told this node that they leave, and of which peers are still to be told.
-    leaving: Untold,
-    /// Back ends that named a limit to this node, or none any more, and of which peers are still to be told.
-    limits: Untold,
+    /// Back ends that reported their drain to this node and are not announced to peers yet.
+    pending_drains: PendingAnnouncements,
+    /// Back ends that reported a rate limit, or its end, to this node and are not announced to peers yet.
+    pending_limits: PendingAnnouncements,
 }
 
 impl PeerNotices {
-    /// Readings that are not exchanged with peers yet.
+    /// Creates an empty state that does not take part in the exchange yet.
     pub fn new(knowledge: SharedKnowledge, notices: SharedNotices, clock: Clock, metrics: RelayMetrics) -> Self {
         let index = RefCell::new(PromptIndex::new(PromptIndexConfig::default()));
         PeerNotices {
@@ -70,63 +71,64 @@
                 exchange: RefCell::default(),
                 sequence: Cell::new(0),
                 metrics: metrics.clone(),
-                has_news: Cell::new(false),
-                news: Notify::new(),
+                has_pending_changes: Cell::new(false),
+                prefill_changes: Notify::new(),
                 suspicions: RefCell::default(),
                 unreachable: Notify::new(),
-                engine_ends: SharedEngineTerminations::new(clock, metrics),
+                engine_terminations: SharedEngineTerminations::new(clock, metrics),
                 notices,
-                leaving: Untold::default(),
-                limits: Untold::default(),
+                pending_drains: PendingAnnouncements::default(),
+                pending_limits: PendingAnnouncements::default(),
             }),
         }
     }
 
-    /// Takes notices at `address` from now on, and sends them from there.
+    /// Starts to receive notices at `address` and to send them from there.
     ///
     /// # Errors
     /// When the address can't be bound.
     pub async fn exchange(&self, address: Address) -> io::Result<()> {
         let datagrams = Datagrams::bind(address, self.shared.metrics.clone()).await?;
         *self.shared.exchange.borrow_mut() = Some((address, datagrams.clone()));
-        tokio::task::spawn_local(self.clone().tell_at_pace(AnnouncementPaceConfig::default()));
-        tokio::task::spawn_local(self.clone().tell_unreachable());
-        tokio::task::spawn_local(self.clone().tell_ends());
-        tokio::task::spawn_local(self.clone().tell_blame_again());
-        tokio::task::spawn_local(self.clone().tell_leaving());
-        tokio::task::spawn_local(self.clone().tell_leaving_again());
-        tokio::task::spawn_local(self.clone().tell_limits());
-        tokio::task::spawn_local(self.clone().tell_limits_again());
-        let readings = self.clone();
+        tokio::task::spawn_local(self.clone().announce_prefills(AnnouncementPaceConfig::default()));
+        tokio::task::spawn_local(self.clone().announce_unreachable());
+        tokio::task::spawn_local(self.clone().announce_terminations());
+        tokio::task::spawn_local(self.clone().repeat_attributions());
+        tokio::task::spawn_local(self.clone().announce_drains());
+        tokio::task::spawn_local(self.clone().repeat_drains());
+        tokio::task::spawn_local(self.clone().announce_limits());
+        tokio::task::spawn_local(self.clone().repeat_limits());
+        let peer_notices = self.clone();
         tokio::task::spawn_local(async move {
             loop {
-                readings.receive(datagrams.receive().await).await;
+                peer_notices.receive(datagrams.receive().await).await;
             }
         });
         Ok(())
     }
 
-    /// Asks a few peers what engines keep.
+    /// Asks a few peers which parts of prompts the engines cache.
     pub async fn request_cached_parts(&self) {
         let Some(sender) = self.sender() else {
             return;
         };
-        self.send(&PeerNotice::AskKept { sender }, NodeMessageKind::CachedParts, &self.some_peers(PEERS_ASKED)).await;
+        self.send(&PeerNotice::AskKept { sender }, NodeMessageKind::CachedParts, &self.random_peers(QUERIED_PEERS))
+            .await;
     }
 
-    /// Whether anything is known of what engines keep.
+    /// Whether any cached part of any engine is known.
     pub fn knows_cached_parts(&self) -> bool {
         self.shared.index.borrow().knows_kept()
     }
 
-    /// Takes in what an engine itself tells that it keeps.
+    /// Records the cached parts that an engine itself reported.
     pub fn record_cached_parts(&self, engine: &BackEndId, parts: Vec<PromptPart>) {
-        let told = parts.into_iter().map(|part| AnnouncedPart { part, brought_since: 0 });
-        let kept = CachedParts { engine: engine.clone(), parts: told.collect() };
-        self.shared.index.borrow_mut().adopt_kept(kept, self.shared.clock.now());
+        let announced = parts.into_iter().map(|part| AnnouncedPart { part, brought_since: 0 });
+        let cached = CachedParts { engine: engine.clone(), parts: announced.collect() };
+        self.shared.index.borrow_mut().adopt_kept(cached, self.shared.clock.now());
     }
 
-    /// Sends a message and returns the bytes that went out; none before the node takes part in the exchange.
+    /// Sends a message and returns the number of bytes sent; 0 before the node takes part in the exchange.
     async fn send(&self, message: &PeerNotice, kind: NodeMessageKind, receivers: &[Address]) -> usize {
         let datagrams = self.shared.exchange.borrow().as_ref().map(|(_, datagrams)| datagrams.clone());
         match datagrams {
@@ -135,81 +137,84 @@
         }
     }
 
-    /// Where this node takes notices, which names it; `None` before it takes part in the exchange.
+    /// The address at which this node receives notices, which identifies it; `None` before it takes part in the
+    /// exchange.
     fn sender(&self) -> Option<Address> {
         self.shared.exchange.borrow().as_ref().map(|(sender, _)| *sender)
     }
 
-    /// Calls `read` with what is known.
+    /// Calls `read` with the prompt index.
     pub fn with_index<T>(&self, read: impl FnOnce(&PromptIndex) -> T) -> T {
         read(&self.shared.index.borrow())
     }
 
-    /// Notes that `engine` begins to read `prompt`, until the guard is ended or dropped.
+    /// Records that `engine` runs the prefill of `prompt`, until the guard is ended or dropped.
     pub fn begin(&self, engine: &BackEnd, prompt: &Prompt, urgency: Urgency) -> PrefillGuard {
         let now = self.shared.clock.now();
         let mut index = self.shared.index.borrow_mut();
         let id = index.begin(engine, prompt, urgency, now);
         drop(index);
-        self.note_news();
-        PrefillGuard { readings: self.clone(), id: Some(id) }
+        self.notify_prefill_change();
+        PrefillGuard { peer_notices: self.clone(), id: Some(id) }
     }
 
-    /// Notes that `engine` has got the KV cache of `prompt` from another one and began its answer `took` after it was
-    /// sent there.
+    /// Records that `engine` received the KV cache of `prompt` from another engine and began its answer `took` after
+    /// the request was sent to it.
     pub fn record_cache_transfer(&self, engine: &BackEndId, prompt: &Prompt, took: Duration) {
         self.shared.index.borrow_mut().moved(engine, prompt, took, self.shared.clock.now());
-        self.note_news();
+        self.notify_prefill_change();
     }
 
-    /// Notes that an engine began an answer `took` after it was sent there, for which no long prompt was moved or read.
+    /// Records that an engine began its answer `took` after the request was sent to it, without the prefill or the
+    /// cache transfer of a long prompt.
     pub fn record_wait(&self, took: Duration) {
         self.shared.index.borrow_mut().waited(took, self.shared.clock.now());
     }
 
-    /// Notes that `back_end` could not be reached; peers are told at once.
+    /// Records that `back_end` could not be reached and announces it to peers at once.
     pub fn record_unreachable(&self, back_end: &BackEndId) {
         let now = self.shared.clock.now();
         self.shared.suspicions.borrow_mut().note_unreachable(back_end.into(), now);
         self.shared.unreachable.notify_one();
     }
 
-    /// Notes that `back_end` has answered.
+    /// Records that `back_end` has answered.
     pub fn record_answer(&self, back_end: &BackEndId) {
         self.shared.suspicions.borrow_mut().note_answer(back_end.into(), self.shared.clock.now());
     }
 
-    /// Whether several nodes could not reach `back_end` a moment ago.
+    /// Whether several nodes recently failed to reach `back_end`.
     pub fn is_suspected(&self, back_end: &BackEndId, now: Timestamp) -> bool {
         self.shared.suspicions.borrow().is_suspected(EngineTag::from(back_end), now)
     }
 
-    /// Tells peers at once of a back end that told this node that it leaves.
+    /// Announces a back end that reported its drain to this node to peers at once.
     pub fn queue_drain_announcement(&self, back_end: &BackEndId) {
-        self.shared.leaving.note(back_end);
+        self.shared.pending_drains.add(back_end);
     }
 
-    /// Tells peers at once of a back end that named a limit to this node for the first time, or none any more.
+    /// Announces a back end that reported a new rate limit, or the end of its limit, to this node to peers at once.
     pub fn queue_limit_announcement(&self, back_end: &BackEndId) {
-        self.shared.limits.note(back_end);
+        self.shared.pending_limits.add(back_end);
     }
 
-    /// The engines that ended while they ran requests.
+    /// The engines that terminated while running requests.
     pub fn engine_terminations(&self) -> &SharedEngineTerminations {
-        &self.shared.engine_ends
+        &self.shared.engine_terminations
     }
 
-    /// What is believed of the engines' speed.
+    /// The estimated speed of the engines.
     pub fn model(&self) -> EngineModel {
         *self.shared.index.borrow().model()
     }
 
-    /// Takes over what the knowledge says about engines.
+    /// Removes expired entries and engines that are no longer in the directory, and updates the nodes that share rate
+    /// limits and the cache size, if it is known.
     pub fn refresh(&self, cache_tokens: Option<u64>) {
         let knowledge = self.shared.knowledge.load_full();
         self.shared.suspicions.borrow_mut().tidy(self.shared.clock.now());
-        self.shared.engine_ends.tidy();
-        self.share_limits();
+        self.shared.engine_terminations.tidy();
+        self.update_limit_sharing();
         let mut index = self.shared.index.borrow_mut();
         let present = knowledge.directory.entries().map(|entry| &entry.back_end.id);
         index.retain_engines(present, self.shared.clock.now());
@@ -218,37 +223,37 @@
         }
     }
 
-    fn note_news(&self) {
-        self.shared.has_news.set(true);
-        self.shared.news.notify_one();
+    fn notify_prefill_change(&self) {
+        self.shared.has_pending_changes.set(true);
+        self.shared.prefill_changes.notify_one();
     }
 }
 
-/// A prompt that is being read.
+/// A prefill in progress. Dropping the guard records it as ended and incomplete.
 pub struct PrefillGuard {
-    readings: PeerNotices,
+    peer_notices: PeerNotices,
     id: Option<PrefillId>,
 }
 
 impl PrefillGuard {
-    /// Notes that the reading has ended, and whether the engine has read all of the prompt.
-    pub fn end(mut self, whole: bool) {
-        self.note_end(whole);
+    /// Records that the prefill has ended, and whether it covered the complete prompt.
+    pub fn end(mut self, is_complete: bool) {
+        self.record_end(is_complete);
     }
 
-    fn note_end(&mut self, whole: bool) {
+    fn record_end(&mut self, is_complete: bool) {
         if let Some(id) = self.id.take() {
-            let now = self.readings.shared.clock.now();
-            let mut index = self.readings.shared.index.borrow_mut();
-            index.end(id, whole, now);
+            let now = self.peer_notices.shared.clock.now();
+            let mut index = self.peer_notices.shared.index.borrow_mut();
+            index.end(id, is_complete, now);
             drop(index);
-            self.readings.note_news();
+            self.peer_notices.notify_prefill_change();
         }
     }
 }
 
 impl Drop for PrefillGuard {
     fn drop(&mut self) {
-        self.note_end(false);
+        self.record_end(false);
     }
 }
--- a/crates/relay/src/peer_notices/pending.rs
+++ b/crates/relay/src/peer_notices/pending.rs
@@ -1,25 +1,25 @@
-//! News of back ends that peers are still to be told.
+//! Back ends whose announcement to peers is pending.
 
 use std::cell::RefCell;
 
 use havengate_core::world::BackEndId;
 use tokio::sync::Notify;
 
-/// Back ends that peers are still to be told of, in the order in which this node heard of them.
+/// Back ends whose announcement to peers is pending, in the order in which they were added.
 #[derive(Default)]
-pub(super) struct Untold {
+pub(super) struct PendingAnnouncements {
     back_ends: RefCell<Vec<BackEndId>>,
-    news: Notify,
+    added: Notify,
 }
 
-impl Untold {
-    /// Notes that peers are to be told of a back end.
-    pub(super) fn note(&self, back_end: &BackEndId) {
+impl PendingAnnouncements {
+    /// Adds a back end and wakes the task that announces it.
+    pub(super) fn add(&self, back_end: &BackEndId) {
         self.back_ends.borrow_mut().push(back_end.clone());
-        self.news.notify_one();
+        self.added.notify_one();
     }
 
-    /// Waits until there are some, and takes so many of them at most.
+    /// Waits until any are pending and takes at most `maximum` of them.
     pub(super) async fn take(&self, maximum: usize) -> Vec<BackEndId> {
         loop {
             let taken: Vec<BackEndId> = {
@@ -30,7 +30,7 @@
             if !taken.is_empty() {
                 return taken;
             }
-            self.news.notified().await;
+            self.added.notified().await;
         }
     }
 }
--- a/crates/relay/tests/peer_notices.rs
+++ b/crates/relay/tests/peer_notices.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of readings, over real datagrams.
+//! Exchange of peer notices between nodes, over real UDP sockets.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -16,15 +16,15 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// How often a condition is looked at, and how often in all before the test fails.
-const POLL: Duration = Duration::from_millis(10);
-const POLLS: usize = 1_000;
+/// The interval at which a condition is checked, and the number of checks before the test fails.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const POLLS_MAXIMUM: usize = 1_000;
 
 struct Node {
     address: Address,
     knowledge: SharedKnowledge,
     metrics: RelayMetrics,
-    readings: PeerNotices,
+    peer_notices: PeerNotices,
     clock: Clock,
 }
 
@@ -33,27 +33,27 @@
         let metrics = RelayMetrics::new();
         let knowledge: SharedKnowledge = Arc::new(ArcSwap::from_pointee(Knowledge::nothing()));
         let clock = Clock::start();
-        let readings = PeerNotices::new(Arc::clone(&knowledge), SharedNotices::default(), clock, metrics.clone());
+        let peer_notices = PeerNotices::new(Arc::clone(&knowledge), SharedNotices::default(), clock, metrics.clone());
         let mut address = free_address();
-        // Another process may take the port between the two.
-        while readings.exchange(address).await.is_err() {
+        // Another process may take the port before it is bound again.
+        while peer_notices.exchange(address).await.is_err() {
             address = free_address();
         }
-        Node { address, knowledge, metrics, readings, clock }
+        Node { address, knowledge, metrics, peer_notices, clock }
     }
 
-    fn knows(&self, peers: &[&Node]) {
+    fn set_peers(&self, peers: &[&Node]) {
         let peers = Arc::new(peers.iter().map(|peer| peer.address).collect());
         self.knowledge.store(Arc::new(Knowledge { peers, ..Knowledge::nothing() }));
     }
 
-    fn dropped(&self, cause: &str) -> bool {
+    fn has_dropped(&self, cause: &str) -> bool {
         let text = self.metrics.encode().expect("metrics are text");
         text.contains(&format!("dropped_messages_total{{cause=\"{cause}\"}}"))
     }
 
-    fn keeps(&self) -> u32 {
-        self.readings.with_index(|index| index.kept_tokens_of(&engine().id, &prompt()))
+    fn cached_tokens(&self) -> u32 {
+        self.peer_notices.with_index(|index| index.kept_tokens_of(&engine().id, &prompt()))
     }
 }
 
@@ -80,46 +80,46 @@
     Prompt { tokens: 9_000, output_tokens_maximum: 2, parts: vec![part(1, 4_000), part(2, 2_000), part(3, 3_000)] }
 }
 
-async fn until(condition: impl Fn() -> bool) {
-    for _ in 0..POLLS {
+async fn wait_until(condition: impl Fn() -> bool) {
+    for _ in 0..POLLS_MAXIMUM {
         if condition() {
             return;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
-    panic!("the condition never held");
+    panic!("the condition did not become true in time");
 }
 
 #[tokio::test]
-async fn only_known_peers_are_believed_and_what_is_dropped_is_counted() {
+async fn only_notices_from_known_peers_are_applied_and_dropped_messages_are_counted() {
     let test = async {
         let (here, there) = (Node::start().await, Node::start().await);
-        here.knows(&[&there]);
-        here.readings.begin(&engine(), &prompt(), Urgency::InTime).end(true);
-        until(|| there.dropped("unknown_sender")).await;
-        assert_eq!(there.keeps(), 0);
-        there.knows(&[&here]);
-        here.readings.begin(&engine(), &prompt(), Urgency::InTime).end(true);
-        until(|| there.keeps() == 6_000).await;
-        let stranger = UdpSocket::bind("127.0.0.1:0").expect("there is a free port");
-        stranger.send_to(&[0xff; 40], there.address.0).expect("loopback takes datagrams");
-        until(|| there.dropped("malformed")).await;
+        here.set_peers(&[&there]);
+        here.peer_notices.begin(&engine(), &prompt(), Urgency::InTime).end(true);
+        wait_until(|| there.has_dropped("unknown_sender")).await;
+        assert_eq!(there.cached_tokens(), 0);
+        there.set_peers(&[&here]);
+        here.peer_notices.begin(&engine(), &prompt(), Urgency::InTime).end(true);
+        wait_until(|| there.cached_tokens() == 6_000).await;
+        let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("there is a free port");
+        unknown_sender.send_to(&[0xff; 40], there.address.0).expect("loopback takes datagrams");
+        wait_until(|| there.has_dropped("malformed")).await;
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn a_back_end_that_two_nodes_could_not_reach_is_passed_over_by_a_third() {
+async fn a_back_end_that_two_nodes_could_not_reach_is_suspected_by_a_third() {
     let test = async {
         let (one, two, three) = (Node::start().await, Node::start().await, Node::start().await);
-        one.knows(&[&two, &three]);
-        two.knows(&[&one, &three]);
-        three.knows(&[&one, &two]);
-        // What was told is soon forgotten, so it is told until it has arrived.
-        until(|| {
-            one.readings.record_unreachable(&engine().id);
-            two.readings.record_unreachable(&engine().id);
-            three.readings.is_suspected(&engine().id, three.clock.now())
+        one.set_peers(&[&two, &three]);
+        two.set_peers(&[&one, &three]);
+        three.set_peers(&[&one, &two]);
+        // Reports expire soon, so they are repeated until they have arrived.
+        wait_until(|| {
+            one.peer_notices.record_unreachable(&engine().id);
+            two.peer_notices.record_unreachable(&engine().id);
+            three.peer_notices.is_suspected(&engine().id, three.clock.now())
         })
         .await;
     };
@@ -127,53 +127,56 @@
 }
 
 #[tokio::test]
-async fn what_a_stranger_could_not_reach_counts_for_nothing() {
+async fn unreachable_notices_from_unknown_senders_are_ignored() {
     let test = async {
         let (one, two, three) = (Node::start().await, Node::start().await, Node::start().await);
-        one.knows(&[&three]);
-        two.knows(&[&three]);
-        three.knows(&[&one]);
-        until(|| {
-            one.readings.record_unreachable(&engine().id);
-            two.readings.record_unreachable(&engine().id);
-            three.dropped("unknown_sender")
+        one.set_peers(&[&three]);
+        two.set_peers(&[&three]);
+        three.set_peers(&[&one]);
+        wait_until(|| {
+            one.peer_notices.record_unreachable(&engine().id);
+            two.peer_notices.record_unreachable(&engine().id);
+            three.has_dropped("unknown_sender")
         })
         .await;
-        assert!(!three.readings.is_suspected(&engine().id, three.clock.now()));
+        assert!(!three.peer_notices.is_suspected(&engine().id, three.clock.now()));
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A node that had cleared a request and heard a peer blame it for the ends before queued its answer, and did not wake the task that
-/// sends it: the peer went on blocking the request. The evidence: this test, on the code as it was.
+/// Guards against a peer that goes on blocking a cleared request. A node that had cleared the request received a peer's
+/// attribution of earlier terminations to it and queued its answer, but did not wake the task that sends it. This test
+/// failed on that code.
 #[tokio::test]
-async fn a_peer_that_missed_a_whole_answer_is_told_when_it_goes_on_blaming() {
+async fn a_peer_that_missed_a_complete_answer_is_notified_when_it_repeats_the_attribution() {
     let test = async {
         let (here, there) = (Node::start().await, Node::start().await);
-        let popular = ContentId::of([&b"asked by many"[..]]);
-        let ends = |node: &Node, engines: u32| {
+        let popular_content = ContentId::of([&b"asked by many"[..]]);
+        let record_terminations = |node: &Node, engines: u32| {
             for number in 0..engines {
                 let sent_at = node.clock.now();
-                let runs = [TerminatedRun { content: popular, sent_at }];
+                let runs = [TerminatedRun { content: popular_content, sent_at }];
                 let engine = BackEndId::new(format!("ended-{number}"));
-                node.readings.engine_terminations().note_ended(&engine, &runs, node.clock.now());
+                node.peer_notices.engine_terminations().note_ended(&engine, &runs, node.clock.now());
             }
         };
-        ends(&here, 1);
-        ends(&there, 3);
-        // Ends are told as ages, which a message on its way makes longer: the answer has to come clearly later.
-        sleep(20 * POLL).await;
-        here.readings.engine_terminations().note_served(popular);
-        assert_eq!(there.readings.engine_terminations().blocked(), 1);
-        // Both have told all that they had, to nobody, before they know of each other.
-        until(|| {
-            !here.readings.engine_terminations().has_untold() && !there.readings.engine_terminations().has_untold()
+        record_terminations(&here, 1);
+        record_terminations(&there, 3);
+        // Terminations are announced as ages, to which the delay of the message adds: the answer has to be clearly
+        // later.
+        sleep(20 * POLL_INTERVAL).await;
+        here.peer_notices.engine_terminations().note_served(popular_content);
+        assert_eq!(there.peer_notices.engine_terminations().blocked(), 1);
+        // Both have sent all pending announcements, to no receiver, before they know each other.
+        wait_until(|| {
+            !here.peer_notices.engine_terminations().has_untold()
+                && !there.peer_notices.engine_terminations().has_untold()
         })
         .await;
-        here.knows(&[&there]);
-        there.knows(&[&here]);
-        until(|| there.readings.engine_terminations().blocked() == 0).await;
-        assert!(!here.readings.engine_terminations().is_suspect(popular));
+        here.set_peers(&[&there]);
+        there.set_peers(&[&here]);
+        wait_until(|| there.peer_notices.engine_terminations().blocked() == 0).await;
+        assert!(!here.peer_notices.engine_terminations().is_suspect(popular_content));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/relay/tests/send_failure.rs
+++ b/crates/relay/tests/send_failure.rs
@@ -1,38 +1,38 @@
-//! What a send without an answer says of the back end.
+//! Which failures of a send are announced to peers.
 
 use havengate_core::world::Address;
 use havengate_relay::back_ends::SendFailure;
 use havengate_relay::protocol::{CacheSource, SendStage};
 
-fn text() -> String {
+fn error_text() -> String {
     "why".to_owned()
 }
 
-fn decode() -> SendStage {
+fn decode_stage() -> SendStage {
     let address = Address(std::net::SocketAddr::from(([10, 0, 0, 1], 80)));
     SendStage::Decode(CacheSource { address, handle: "handle".to_owned() })
 }
 
 #[test]
-fn a_back_end_that_cannot_be_connected_to_or_acknowledges_nothing_is_told_to_others() {
-    for failure in [SendFailure::NotSent(text()), SendFailure::Silent(text())] {
-        for stage in [SendStage::Whole, SendStage::Prefill, decode()] {
+fn failed_connections_and_missing_acknowledgements_are_announced() {
+    for failure in [SendFailure::NotSent(error_text()), SendFailure::Silent(error_text())] {
+        for stage in [SendStage::Whole, SendStage::Prefill, decode_stage()] {
             assert!(failure.should_warn_peers(&stage), "{failure} {stage:?}");
         }
     }
 }
 
 #[test]
-fn a_prompt_that_an_engine_broke_off_is_told_and_an_answer_that_was_lost_is_not() {
-    assert!(SendFailure::Lost(text()).should_warn_peers(&SendStage::Prefill));
-    assert!(!SendFailure::Lost(text()).should_warn_peers(&SendStage::Whole));
-    assert!(!SendFailure::Lost(text()).should_warn_peers(&decode()));
+fn interrupted_prefills_are_announced_and_lost_answers_are_not() {
+    assert!(SendFailure::Lost(error_text()).should_warn_peers(&SendStage::Prefill));
+    assert!(!SendFailure::Lost(error_text()).should_warn_peers(&SendStage::Whole));
+    assert!(!SendFailure::Lost(error_text()).should_warn_peers(&decode_stage()));
 }
 
 #[test]
-fn a_request_whose_time_ran_out_says_nothing_of_the_engine_that_had_much_to_do() {
+fn timeouts_are_not_announced() {
     for failure in [SendFailure::TimedOut, SendFailure::NoTime] {
-        for stage in [SendStage::Whole, SendStage::Prefill, decode()] {
+        for stage in [SendStage::Whole, SendStage::Prefill, decode_stage()] {
             assert!(!failure.should_warn_peers(&stage), "{failure} {stage:?}");
         }
     }
