--- a/crates/core/src/back_ends/directory.rs
+++ b/crates/core/src/back_ends/directory.rs
@@ -4,15 +4,15 @@
 
 use super::back_end::{BackEnd, BackEndState};
 use super::directory_entry::{DirectoryEntry, Usability};
-use super::directory_news::{DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate};
-use super::former_era::PreviousEra;
+use super::directory_update::{DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate};
 use super::history::ChangeHistory;
+use super::previous_era::PreviousEra;
 use crate::store::Position;
 use crate::time::Timestamp;
 use crate::world::{BackEndId, BackEndName, ServiceName};
 
 /// Spoiled entries that are remembered: another writer may leave any number of them.
-const SPOILED_MAXIMUM: usize = 1_000;
+const MALFORMED_MAXIMUM: usize = 1_000;
 
 /// A node's replica of the directory. Its position never falls, but where the store goes back without a word.
 #[derive(Clone, Debug, Default)]
@@ -24,11 +24,11 @@
     /// By name: a back end has one life at a time.
     entries: BTreeMap<BackEndName, DirectoryEntry>,
     /// Entries that were spoiled: who is told the whole directory must not take them for vanished a moment ago.
-    spoiled: BTreeSet<BackEndName>,
+    malformed: BTreeSet<BackEndName>,
     history: ChangeHistory,
-    former_era: PreviousEra,
+    previous_era: PreviousEra,
     /// Whether the store went back since the directory was first read.
-    went_back: bool,
+    was_restored: bool,
 }
 
 impl Directory {
@@ -53,8 +53,8 @@
     }
 
     /// Whether the store went back to an older copy since the directory was first read.
-    pub fn went_back(&self) -> bool {
-        self.went_back
+    pub fn was_restored(&self) -> bool {
+        self.was_restored
     }
 
     /// All back ends that are ready or draining, and those whose entry vanished a moment ago.
@@ -68,7 +68,7 @@
     }
 
     /// The life that the back end of this name has here, where that is another one.
-    pub fn former_life(&self, id: &BackEndId) -> Option<&BackEndId> {
+    pub fn other_incarnation(&self, id: &BackEndId) -> Option<&BackEndId> {
         let entry = self.entries.get(id.name())?;
         (entry.back_end.id != *id).then_some(&entry.back_end.id)
     }
@@ -90,61 +90,61 @@
             return false;
         }
         if self.known && listing.position.era > self.position.era {
-            self.went_back |= self.is_behind(listing.position);
-            self.go_back(now);
+            self.was_restored |= self.is_behind(listing.position);
+            self.record_restore(now);
         }
-        self.take(listing, now);
+        self.replace(listing, now);
         true
     }
 
     /// Replaces the directory by a listing of a store that went back to an older copy without telling an era.
-    pub fn adopt_older(&mut self, listing: DirectoryListing, now: Timestamp) {
-        self.went_back = true;
-        self.go_back(now);
-        self.take(listing, now);
+    pub fn adopt_restored(&mut self, listing: DirectoryListing, now: Timestamp) {
+        self.was_restored = true;
+        self.record_restore(now);
+        self.replace(listing, now);
     }
 
     /// Whether what stands at `position` is of a copy that is older than this directory. The first era that is told may be the one that the
     /// directory is of.
     pub fn is_behind(&self, position: Position) -> bool {
-        let is_later = position.era > self.position.era && self.position.era.is_told();
+        let is_later = position.era > self.position.era && self.position.era.is_reported();
         self.known && (is_later || position.revision < self.position.revision)
     }
 
     /// Takes in that the next listing comes from an older copy.
-    fn go_back(&mut self, now: Timestamp) {
-        self.former_era.begin(now);
+    fn record_restore(&mut self, now: Timestamp) {
+        self.previous_era.begin(now);
         for entry in self.entries.values_mut() {
-            entry.left_before_copy |= entry.back_end.state == BackEndState::Draining;
+            entry.drained_before_restore |= entry.back_end.state == BackEndState::Draining;
             if entry.listed && entry.usability(now) != Usability::Unusable {
-                self.former_era.note_present(&entry.back_end.id);
-            } else if !entry.listed && entry.left_at.is_some_and(|left_at| left_at <= now) {
-                self.former_era.note_departed(&entry.back_end.id, now);
+                self.previous_era.record_present(&entry.back_end.id);
+            } else if !entry.listed && entry.retired_at.is_some_and(|retired_at| retired_at <= now) {
+                self.previous_era.record_departed(&entry.back_end.id, now);
             }
         }
     }
 
-    fn take(&mut self, listing: DirectoryListing, now: Timestamp) {
+    fn replace(&mut self, listing: DirectoryListing, now: Timestamp) {
         let mut back_ends = listing.back_ends;
-        back_ends.iter_mut().for_each(|back_end| self.keep_leaving(back_end));
-        let spoiled: BTreeSet<BackEndName> = listing.spoiled.into_iter().take(SPOILED_MAXIMUM).collect();
+        back_ends.iter_mut().for_each(|back_end| self.preserve_draining(back_end));
+        let malformed: BTreeSet<BackEndName> = listing.malformed.into_iter().take(MALFORMED_MAXIMUM).collect();
         let is_other_era = listing.position.era != self.position.era || listing.position < self.position;
-        if !self.known || is_other_era || back_ends != self.listing().back_ends || spoiled != self.spoiled {
+        if !self.known || is_other_era || back_ends != self.listing().back_ends || malformed != self.malformed {
             self.changed_at = listing.position;
             self.history.restart(listing.position);
         }
         self.known = true;
         self.position = listing.position;
         let listed: BTreeSet<BackEndName> = back_ends.iter().map(|back_end| back_end.id.name().clone()).collect();
-        self.entries.retain(|name, _| !spoiled.contains(name));
-        self.spoiled = spoiled;
+        self.entries.retain(|name, _| !malformed.contains(name));
+        self.malformed = malformed;
         for back_end in back_ends {
             self.put(back_end, now);
         }
-        let vanished_at = self.former_era.held_until(now).unwrap_or(now);
+        let unlisted_at = self.previous_era.held_until(now).unwrap_or(now);
         for (name, entry) in &mut self.entries {
             if !listed.contains(name) {
-                entry.vanish(vanished_at);
+                entry.mark_unlisted(unlisted_at);
             }
         }
         self.forget_unusable(now);
@@ -154,39 +154,39 @@
     /// does no harm: the last change of each back end decides.
     ///
     /// Returns whether the directory stands at their position now.
-    pub fn apply(&mut self, mut news: DirectoryChanges, now: Timestamp) -> bool {
-        if news.position < self.position || news.position.era != self.position.era {
+    pub fn apply(&mut self, mut update: DirectoryChanges, now: Timestamp) -> bool {
+        if update.position < self.position || update.position.era != self.position.era {
             return false;
         }
-        for change in &mut news.changes {
+        for change in &mut update.changes {
             if let DirectoryChange::Put(back_end) = change {
-                self.keep_leaving(back_end);
+                self.preserve_draining(back_end);
             }
         }
         // Back ends write their entries again and again; what says nothing new goes no further. But a replica that another reader has
         // told of the first of two changes lacks the second one, also where both together say nothing new here.
-        let counts = Self::counts(&news.changes);
-        let last = Self::last_changes(&news.changes);
+        let counts = Self::counts(&update.changes);
+        let last = Self::last_changes(&update.changes);
         let mut number = 0;
-        news.changes.retain(|change| {
+        update.changes.retain(|change| {
             number += 1;
             last[number - 1] && (counts[number - 1] > 1 || self.is_new(change))
         });
-        if !news.changes.is_empty() {
-            self.changed_at = news.position;
-            self.history.record(self.position, &news);
+        if !update.changes.is_empty() {
+            self.changed_at = update.position;
+            self.history.record(self.position, &update);
         }
-        self.position = news.position;
-        for change in news.changes {
+        self.position = update.position;
+        for change in update.changes {
             match change {
                 DirectoryChange::Put(back_end) => self.put(back_end, now),
                 DirectoryChange::Gone(name) => {
-                    self.spoiled.remove(&name);
+                    self.malformed.remove(&name);
                     if let Some(entry) = self.entries.get_mut(&name) {
-                        entry.vanish(now);
+                        entry.mark_unlisted(now);
                     }
                 }
-                DirectoryChange::Spoiled(name) => self.spoil(&name),
+                DirectoryChange::Malformed(name) => self.mark_malformed(&name),
             }
         }
         self.forget_unusable(now);
@@ -195,24 +195,24 @@
 
     /// What leads a replica that stands at `position` to this one, without a change when it stands there already; `None`
     /// when it is ahead. A replica that tells no era is told none.
-    pub fn news_since(&self, position: Position) -> Option<DirectoryUpdate> {
+    pub fn update_since(&self, position: Position) -> Option<DirectoryUpdate> {
         if !self.known {
             return None;
         }
-        if position.era.is_told() || !self.position.era.is_told() {
-            return self.news_after(position);
+        if position.era.is_reported() || !self.position.era.is_reported() {
+            return self.update_after(position);
         }
         let same_era = Position::new(self.position.era, position.revision);
-        let news = if self.went_back && same_era < self.position {
+        let update = if self.was_restored && same_era < self.position {
             // Its revision may be one of the former era, from which changes of this one don't lead on.
             Some(DirectoryUpdate::Listing(self.listing()))
         } else {
-            self.news_after(same_era)
+            self.update_after(same_era)
         };
-        news.map(DirectoryUpdate::without_era)
+        update.map(DirectoryUpdate::without_era)
     }
 
-    fn news_after(&self, position: Position) -> Option<DirectoryUpdate> {
+    fn update_after(&self, position: Position) -> Option<DirectoryUpdate> {
         if position > self.position {
             return None;
         }
@@ -230,7 +230,7 @@
     pub fn listing(&self) -> DirectoryListing {
         let present = self.entries.values().filter(|entry| entry.listed);
         let back_ends = present.map(|entry| entry.back_end.clone()).collect();
-        DirectoryListing { position: self.position, back_ends, spoiled: self.spoiled.iter().cloned().collect() }
+        DirectoryListing { position: self.position, back_ends, malformed: self.malformed.iter().cloned().collect() }
     }
 
     /// Which of `changes` are the last ones of their back ends: those before them decide nothing.
@@ -254,51 +254,51 @@
         match change {
             // Of one that left before the store went back, others may know less than this node.
             DirectoryChange::Put(back_end) => {
-                listed.is_none_or(|entry| entry.left_before_copy || entry.back_end != *back_end)
+                listed.is_none_or(|entry| entry.drained_before_restore || entry.back_end != *back_end)
             }
-            DirectoryChange::Gone(name) => listed.is_some() || self.spoiled.contains(name),
-            DirectoryChange::Spoiled(name) => {
-                entry.is_some() || (!self.spoiled.contains(name) && self.spoiled.len() < SPOILED_MAXIMUM)
+            DirectoryChange::Gone(name) => listed.is_some() || self.malformed.contains(name),
+            DirectoryChange::Malformed(name) => {
+                entry.is_some() || (!self.malformed.contains(name) && self.malformed.len() < MALFORMED_MAXIMUM)
             }
         }
     }
 
     fn put(&mut self, back_end: BackEnd, now: Timestamp) {
         let name = back_end.id.name().clone();
-        self.spoiled.remove(&name);
-        if let Some(former) = self.former_life(&back_end.id).cloned() {
-            self.former_era.note_departed(&former, now);
+        self.malformed.remove(&name);
+        if let Some(previous) = self.other_incarnation(&back_end.id).cloned() {
+            self.previous_era.record_departed(&previous, now);
         }
         // What a former life did, also that it left, is none of this one's.
         let before = self.get(&back_end.id);
-        let left_before = before.and_then(|entry| entry.left_at).map(|left_at| left_at.min(now));
-        let left_before_copy = before.is_some_and(|entry| entry.left_before_copy);
-        let doubted_until = self.former_era.doubted_until(&back_end.id, now);
-        let read = DirectoryEntry::read(back_end, left_before, now);
-        self.entries.insert(name, DirectoryEntry { doubted_until, left_before_copy, ..read });
+        let retired_before = before.and_then(|entry| entry.retired_at).map(|retired_at| retired_at.min(now));
+        let drained_before_restore = before.is_some_and(|entry| entry.drained_before_restore);
+        let quarantined_until = self.previous_era.quarantined_until(&back_end.id, now);
+        let read = DirectoryEntry::read(back_end, retired_before, now);
+        self.entries.insert(name, DirectoryEntry { quarantined_until, drained_before_restore, ..read });
     }
 
     /// A life that said that it leaves before the store went back leaves, though the copy may not know of it.
-    fn keep_leaving(&self, back_end: &mut BackEnd) {
-        if self.get(&back_end.id).is_some_and(|entry| entry.left_before_copy) {
+    fn preserve_draining(&self, back_end: &mut BackEnd) {
+        if self.get(&back_end.id).is_some_and(|entry| entry.drained_before_restore) {
             back_end.state = BackEndState::Draining;
         }
     }
 
     /// Takes the entry for none, at once: nothing says that the back end is still there for a moment.
-    fn spoil(&mut self, name: &BackEndName) {
+    fn mark_malformed(&mut self, name: &BackEndName) {
         self.entries.remove(name);
-        if self.spoiled.len() < SPOILED_MAXIMUM {
-            self.spoiled.insert(name.clone());
+        if self.malformed.len() < MALFORMED_MAXIMUM {
+            self.malformed.insert(name.clone());
         }
     }
 
     fn forget_unusable(&mut self, now: Timestamp) {
-        let former_era = &mut self.former_era;
+        let previous_era = &mut self.previous_era;
         self.entries.retain(|_, entry| {
             let is_kept = entry.listed || entry.usability(now) != Usability::Unusable;
             if !is_kept {
-                former_era.note_departed(&entry.back_end.id, now);
+                previous_era.record_departed(&entry.back_end.id, now);
             }
             is_kept
         });
--- a/crates/core/src/back_ends/directory_entry.rs
+++ b/crates/core/src/back_ends/directory_entry.rs
@@ -28,40 +28,40 @@
     /// The back end as last read.
     pub back_end: BackEnd,
     /// When the node learned that it leaves or that its entry vanished; ahead for one that is to be written again until then.
-    pub left_at: Option<Timestamp>,
+    pub retired_at: Option<Timestamp>,
     /// Whether the store still lists it.
     pub listed: bool,
     /// Until when it gets nothing, since the store lists it again only because it came back from an older copy.
-    pub doubted_until: Option<Timestamp>,
+    pub quarantined_until: Option<Timestamp>,
     /// Whether this life said that it leaves before the store went back: the copy may not know of it.
-    pub left_before_copy: bool,
+    pub drained_before_restore: bool,
 }
 
 impl DirectoryEntry {
     /// Whether the back end may be sent a request at `now`.
     pub fn usability(&self, now: Timestamp) -> Usability {
-        if self.doubted_until.is_some_and(|until| now < until) {
+        if self.quarantined_until.is_some_and(|until| now < until) {
             return Usability::Unusable;
         }
-        match self.left_at {
+        match self.retired_at {
             None => Usability::Usable,
-            Some(left_at) if now < left_at => Usability::Usable,
-            Some(left_at) if now.since(left_at) < LAST_RESORT => Usability::LastResort,
+            Some(retired_at) if now < retired_at => Usability::Usable,
+            Some(retired_at) if now.since(retired_at) < LAST_RESORT => Usability::LastResort,
             Some(_) => Usability::Unusable,
         }
     }
 
     /// An entry that was just read; `left_before` is when the same life was known to leave.
-    pub(super) fn read(back_end: BackEnd, left_before: Option<Timestamp>, now: Timestamp) -> Self {
+    pub(super) fn read(back_end: BackEnd, retired_before: Option<Timestamp>, now: Timestamp) -> Self {
         let is_draining = back_end.state == BackEndState::Draining;
-        let left_at = is_draining.then(|| left_before.unwrap_or(now));
-        DirectoryEntry { back_end, left_at, listed: true, doubted_until: None, left_before_copy: false }
+        let retired_at = is_draining.then(|| retired_before.unwrap_or(now));
+        DirectoryEntry { back_end, retired_at, listed: true, quarantined_until: None, drained_before_restore: false }
     }
 
     /// Notes that the entry is gone from `at` on.
-    pub(super) fn vanish(&mut self, at: Timestamp) {
-        let left_at = self.left_at.map_or(at, |left_at| left_at.min(at));
-        self.left_at = Some(left_at);
+    pub(super) fn mark_unlisted(&mut self, at: Timestamp) {
+        let retired_at = self.retired_at.map_or(at, |retired_at| retired_at.min(at));
+        self.retired_at = Some(retired_at);
         self.listed = false;
     }
 }
--- a/crates/core/src/back_ends/directory_news.rs
+++ b/crates/core/src/back_ends/directory_update.rs
@@ -14,7 +14,7 @@
     /// All back ends of that position.
     pub back_ends: Vec<BackEnd>,
     /// Entries that can't be understood.
-    pub spoiled: Vec<BackEndName>,
+    pub malformed: Vec<BackEndName>,
 }
 
 /// One change of the directory.
@@ -25,7 +25,7 @@
     /// The back end's entry is gone.
     Gone(BackEndName),
     /// The entry can't be understood: another writer has left it. It names no back end, whatever it named before.
-    Spoiled(BackEndName),
+    Malformed(BackEndName),
 }
 
 impl DirectoryChange {
@@ -33,7 +33,7 @@
     pub fn name(&self) -> &BackEndName {
         match self {
             DirectoryChange::Put(back_end) => back_end.id.name(),
-            DirectoryChange::Gone(name) | DirectoryChange::Spoiled(name) => name,
+            DirectoryChange::Gone(name) | DirectoryChange::Malformed(name) => name,
         }
     }
 }
@@ -72,7 +72,7 @@
     }
 
     /// The news of a node that knows no era, as those of `era`.
-    pub fn of_era(self, era: StoreEra) -> Self {
+    pub fn with_era(self, era: StoreEra) -> Self {
         let position = Position::new(era, self.position().revision);
         self.at(position)
     }
--- a/crates/core/src/back_ends/health.rs
+++ b/crates/core/src/back_ends/health.rs
@@ -18,7 +18,7 @@
 
 impl HealthLimits {
     /// The answers that are remembered.
-    pub const REMEMBERED: u32 = 16;
+    pub const WINDOW: u32 = 16;
 }
 
 impl Default for HealthLimits {
@@ -48,7 +48,7 @@
 }
 
 /// A probe that has not come back after this time no longer keeps others from probing.
-const PROBE_PATIENCE: Duration = Duration::from_secs(2);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl BackEndHealth {
     /// A back end that nothing bad is known of.
@@ -61,7 +61,7 @@
         match self.state {
             State::Admitted => true,
             State::Ejected { until, .. } => now >= until,
-            State::Probed { since, .. } => now.since(since) >= PROBE_PATIENCE,
+            State::Probed { since, .. } => now.since(since) >= PROBE_TIMEOUT,
         }
     }
 
@@ -79,7 +79,7 @@
 
     /// Notes a proper answer.
     pub fn record_success(&mut self) {
-        self.remember(false);
+        self.record_outcome(false);
         if self.is_ejected() {
             *self = BackEndHealth::new(self.limits);
         }
@@ -87,7 +87,7 @@
 
     /// Notes an answer that reports a failure; returns whether it ejects the back end.
     pub fn record_failure(&mut self, now: Timestamp) -> bool {
-        self.remember(true);
+        self.record_outcome(true);
         let too_many = self.recent_failures.count_ones() >= self.limits.failures;
         if too_many || self.is_ejected() {
             return self.eject(now);
@@ -97,7 +97,7 @@
 
     /// Notes that the back end can't be reached, or is another one by now: no request need find that out again soon.
     pub fn record_unreachable(&mut self, now: Timestamp) -> bool {
-        self.remember(true);
+        self.record_outcome(true);
         self.eject(now)
     }
 
@@ -115,8 +115,8 @@
         true
     }
 
-    fn remember(&mut self, failed: bool) {
-        let mask = (1 << HealthLimits::REMEMBERED) - 1;
+    fn record_outcome(&mut self, failed: bool) {
+        let mask = (1 << HealthLimits::WINDOW) - 1;
         self.recent_failures = (self.recent_failures << 1 | u32::from(failed)) & mask;
     }
 }
--- a/crates/core/src/back_ends/history.rs
+++ b/crates/core/src/back_ends/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::directory_news::{DirectoryChange, DirectoryChanges};
+use super::directory_update::{DirectoryChange, DirectoryChanges};
 use crate::store::Position;
 
 /// Changes that are remembered. A replica that lacks more gets the whole directory.
@@ -35,12 +35,12 @@
     }
 
     /// Remembers changes that led on from the position `from`.
-    pub fn record(&mut self, from: Position, news: &DirectoryChanges) {
-        self.count += news.changes.len();
-        self.batches.push_back(Batch { from, to: news.position, changes: news.changes.clone() });
+    pub fn record(&mut self, from: Position, update: &DirectoryChanges) {
+        self.count += update.changes.len();
+        self.batches.push_back(Batch { from, to: update.position, changes: update.changes.clone() });
         while self.count > CHANGES_MAXIMUM {
-            let forgotten = self.batches.pop_front();
-            self.count -= forgotten.map_or(0, |batch| batch.changes.len());
+            let evicted = self.batches.pop_front();
+            self.count -= evicted.map_or(0, |batch| batch.changes.len());
         }
     }
 
--- a/crates/core/src/back_ends/limits.rs
+++ b/crates/core/src/back_ends/limits.rs
@@ -16,14 +16,14 @@
 
 /// The nodes that share a limit, beside one for each request a second that it allows. A few more than one: callers come to all nodes, and a node
 /// without a part refuses its callers where all back ends of a service are in need.
-const SHARERS_BESIDE_RATE: usize = 3;
+const SHARERS_ABOVE_RATE: usize = 3;
 
 /// A request must be sent so long after a back end named a limit for its answer to show that there is none any more: answers overtake each other.
-pub const LIFT_AFTER: Duration = Duration::from_secs(1);
+pub const LIFT_DELAY: Duration = Duration::from_secs(1);
 
 /// A limit that nobody has heard named for this time is forgotten, and the back end is asked again. News of it reach each of 330 nodes several times in this
 /// time.
-pub const LIMIT_FORGOTTEN: Duration = Duration::from_secs(60);
+pub const LIMIT_EXPIRY: Duration = Duration::from_secs(60);
 
 /// Back ends whose limits are remembered: twice those that a system is designed for.
 const LIMITS_MAXIMUM: usize = 8_192;
@@ -59,7 +59,7 @@
     /// The limit.
     pub limit: RequestRate,
     /// Whether none was known before.
-    pub begins: bool,
+    pub is_new: bool,
 }
 
 /// The nodes that share what back ends take.
@@ -75,10 +75,10 @@
 
 impl SharingNodes {
     /// This node's part of `limit`; `None` where others share it.
-    fn part_of(&self, limit: RequestRate, back_end: &BackEndId) -> Option<RequestRate> {
+    fn share_of(&self, limit: RequestRate, back_end: &BackEndId) -> Option<RequestRate> {
         let known = self.peers.len() + 1;
-        let may_be = usize::try_from(self.count).unwrap_or(usize::MAX).max(known);
-        let sharers = (limit.as_per_second() as usize + SHARERS_BESIDE_RATE).min(may_be);
+        let possible = usize::try_from(self.count).unwrap_or(usize::MAX).max(known);
+        let sharers = (limit.as_per_second() as usize + SHARERS_ABOVE_RATE).min(possible);
         let is_sharer = known <= sharers || self.rank(back_end)? < sharers;
         is_sharer.then(|| limit.divided_by(sharers))
     }
@@ -93,12 +93,12 @@
 
 /// What a back end said last.
 #[derive(Clone, Copy, Debug)]
-struct NamedLimit {
+struct LimitState {
     /// What it takes; `None`: it named no limit any more. That is kept against older news of one.
     limit: Option<RequestRate>,
-    said_at: Timestamp,
+    announced_at: Timestamp,
     /// This node's part; `None` where others share the limit.
-    part: Option<RequestRate>,
+    share: Option<RequestRate>,
     /// When this node last sent it a request, or first heard of the limit.
     sent_at: Timestamp,
 }
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct BackEndLimits {
     nodes: SharingNodes,
-    limits: BTreeMap<BackEndId, NamedLimit>,
+    limits: BTreeMap<BackEndId, LimitState>,
 }
 
 impl BackEndLimits {
@@ -117,49 +117,51 @@
             return;
         }
         self.nodes = nodes;
-        for (back_end, named) in &mut self.limits {
-            named.part = named.limit.and_then(|limit| self.nodes.part_of(limit, back_end));
+        for (back_end, state) in &mut self.limits {
+            state.share = state.limit.and_then(|limit| self.nodes.share_of(limit, back_end));
         }
     }
 
     /// Takes in a limit that a back end named in an answer that came at `now`; `None` where it is the one that was known.
-    pub fn name(&mut self, id: &BackEndId, limit: RequestRate, now: Timestamp) -> Option<LimitChange> {
-        let begins = self.limits.get(id).is_none_or(|known| known.limit.is_none());
-        self.take_in(id, Some(limit), now, now).then_some(LimitChange { limit, begins })
+    pub fn record_limit(&mut self, id: &BackEndId, limit: RequestRate, now: Timestamp) -> Option<LimitChange> {
+        let is_new = self.limits.get(id).is_none_or(|known| known.limit.is_none());
+        self.update(id, Some(limit), now, now).then_some(LimitChange { limit, is_new })
     }
 
     /// Takes in that an answer to a request that was sent at `sent_at` named no limit; returns whether the back end had one until then.
-    pub fn name_none(&mut self, id: &BackEndId, sent_at: Timestamp) -> bool {
-        let shows_the_end = |named: &NamedLimit| named.limit.is_some() && sent_at >= named.said_at + LIFT_AFTER;
-        self.limits.get(id).is_some_and(shows_the_end) && self.take_in(id, None, sent_at, sent_at)
+    pub fn record_no_limit(&mut self, id: &BackEndId, sent_at: Timestamp) -> bool {
+        let shows_lift = |state: &LimitState| state.limit.is_some() && sent_at >= state.announced_at + LIFT_DELAY;
+        self.limits.get(id).is_some_and(shows_lift) && self.update(id, None, sent_at, sent_at)
     }
 
     /// Takes in what a peer tells; returns what was not known. Of several words of a back end the one that it said last counts, whichever way it came.
     pub fn receive(&mut self, notice: LimitNotice, now: Timestamp) -> Vec<AnnouncedLimit> {
-        let mut told = notice.limits;
-        told.truncate(LimitNotice::LIMITS_MAXIMUM);
-        told.retain(|told| {
-            let said_at = now - Duration::from_millis(u64::from(told.age_millis));
-            let is_newest = self.limits.get(&told.back_end).is_none_or(|known| known.said_at < said_at);
-            is_newest && now.since(said_at) < LIMIT_FORGOTTEN && self.take_in(&told.back_end, told.limit, said_at, now)
+        let mut announced = notice.limits;
+        announced.truncate(LimitNotice::LIMITS_MAXIMUM);
+        announced.retain(|announced| {
+            let announced_at = now - Duration::from_millis(u64::from(announced.age_millis));
+            let is_newest = self.limits.get(&announced.back_end).is_none_or(|known| known.announced_at < announced_at);
+            is_newest
+                && now.since(announced_at) < LIMIT_EXPIRY
+                && self.update(&announced.back_end, announced.limit, announced_at, now)
         });
-        told
+        announced
     }
 
     /// Notes what a back end said at `said_at`; returns whether it is another limit, or end of one, than was known.
-    fn take_in(&mut self, id: &BackEndId, limit: Option<RequestRate>, said_at: Timestamp, now: Timestamp) -> bool {
+    fn update(&mut self, id: &BackEndId, limit: Option<RequestRate>, announced_at: Timestamp, now: Timestamp) -> bool {
         if let Some(known) = self.limits.get_mut(id)
             && known.limit == limit
         {
-            known.said_at = said_at;
+            known.announced_at = announced_at;
             return false;
         }
         let before = self.limits.get(id).filter(|known| known.limit.is_some());
         // A node that was free to send may have done so a moment ago.
         let sent_at = before.map_or(now, |known| known.sent_at);
-        let part = limit.and_then(|limit| self.nodes.part_of(limit, id));
+        let share = limit.and_then(|limit| self.nodes.share_of(limit, id));
         if self.limits.len() < LIMITS_MAXIMUM || self.limits.contains_key(id) {
-            self.limits.insert(id.clone(), NamedLimit { limit, said_at, part, sent_at });
+            self.limits.insert(id.clone(), LimitState { limit, announced_at, share, sent_at });
         }
         true
     }
@@ -168,40 +170,44 @@
     ///
     /// Where others share the limit, it is the time in which one of them may send a request.
     pub fn wait_left(&self, id: &BackEndId, now: Timestamp) -> Option<Duration> {
-        let named = self.limits.get(id)?;
-        let limit = named.limit?;
-        let Some(part) = named.part else {
-            return Some(limit.pause());
+        let state = self.limits.get(id)?;
+        let limit = state.limit?;
+        let Some(share) = state.share else {
+            return Some(limit.interval());
         };
-        let next_at = named.sent_at + part.pause();
+        let next_at = state.sent_at + share.interval();
         (next_at > now).then(|| next_at.since(now))
     }
 
     /// Notes that this node sends the back end a request.
-    pub fn note_sent(&mut self, id: &BackEndId, now: Timestamp) {
-        if let Some(named) = self.limits.get_mut(id) {
-            named.sent_at = now;
+    pub fn record_sent(&mut self, id: &BackEndId, now: Timestamp) {
+        if let Some(state) = self.limits.get_mut(id) {
+            state.sent_at = now;
         }
     }
 
     /// What peers are told of these back ends.
-    pub fn told<'i>(&self, ids: impl IntoIterator<Item = &'i BackEndId>, now: Timestamp) -> Vec<AnnouncedLimit> {
-        let told = |id: &BackEndId| {
-            let named = self.limits.get(id)?;
-            let age_millis = u32::try_from(now.since(named.said_at).as_millis()).unwrap_or(u32::MAX);
-            Some(AnnouncedLimit { back_end: id.clone(), limit: named.limit, age_millis })
+    pub fn announcements<'i>(
+        &self,
+        ids: impl IntoIterator<Item = &'i BackEndId>,
+        now: Timestamp,
+    ) -> Vec<AnnouncedLimit> {
+        let announced = |id: &BackEndId| {
+            let state = self.limits.get(id)?;
+            let age_millis = u32::try_from(now.since(state.announced_at).as_millis()).unwrap_or(u32::MAX);
+            Some(AnnouncedLimit { back_end: id.clone(), limit: state.limit, age_millis })
         };
-        ids.into_iter().filter_map(told).collect()
+        ids.into_iter().filter_map(announced).collect()
     }
 
     /// Some of the back ends that have said something of limits lately, chosen anew each time, as many as fit one notice.
-    pub fn some(&self, random: &mut fastrand::Rng, now: Timestamp) -> Vec<AnnouncedLimit> {
+    pub fn sample(&self, random: &mut fastrand::Rng, now: Timestamp) -> Vec<AnnouncedLimit> {
         let chosen = random.choose_multiple(self.limits.keys(), LimitNotice::LIMITS_MAXIMUM);
-        self.told(chosen, now)
+        self.announcements(chosen, now)
     }
 
     /// Forgets limits that nobody has heard named for long.
     pub fn tidy(&mut self, now: Timestamp) {
-        self.limits.retain(|_, named| now.since(named.said_at) < LIMIT_FORGOTTEN);
+        self.limits.retain(|_, state| now.since(state.announced_at) < LIMIT_EXPIRY);
     }
 }
--- a/crates/core/src/back_ends/mod.rs
+++ b/crates/core/src/back_ends/mod.rs
@@ -3,22 +3,22 @@
 mod back_end;
 mod directory;
 mod directory_entry;
-mod directory_news;
-mod former_era;
+mod directory_update;
 mod health;
 mod history;
 mod limits;
 mod notices;
+mod previous_era;
 mod request_rate;
 
 pub use back_end::{BackEnd, BackEndState, EngineStage};
 pub use directory::Directory;
 pub use directory_entry::{DirectoryEntry, LAST_RESORT, Usability};
-pub use directory_news::{DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate};
-pub use former_era::{DOUBTED, WRITTEN_AGAIN};
+pub use directory_update::{DirectoryChange, DirectoryChanges, DirectoryListing, DirectoryUpdate};
 pub use health::{BackEndHealth, HealthLimits};
-pub use limits::{AnnouncedLimit, BackEndLimits, LIFT_AFTER, LIMIT_FORGOTTEN, LimitChange, LimitNotice, SharingNodes};
+pub use limits::{AnnouncedLimit, BackEndLimits, LIFT_DELAY, LIMIT_EXPIRY, LimitChange, LimitNotice, SharingNodes};
 pub use notices::{
-    BackEndNotice, BackEndNotices, DrainNotice, DrainingBackEnd, Ineligibility, NoticeEffect, REST_MAXIMUM,
+    BACKOFF_MAXIMUM, BackEndNotice, BackEndNotices, DrainNotice, DrainingBackEnd, Ineligibility, NoticeEffect,
 };
+pub use previous_era::{QUARANTINE, REWRITE_GRACE};
 pub use request_rate::RequestRate;
--- a/crates/core/src/back_ends/notices.rs
+++ b/crates/core/src/back_ends/notices.rs
@@ -16,19 +16,19 @@
 
 /// The longest rest that a back end is granted at one word. A value of any size may stand in an answer that went wrong, and
 /// a back end that means so long a time is asked once more after it.
-pub const REST_MAXIMUM: Duration = Duration::from_secs(3_600);
+pub const BACKOFF_MAXIMUM: Duration = Duration::from_secs(3_600);
 
 /// Back ends that said that they leave and are remembered. Twice the back ends that a system is designed for: all of them may
 /// be replaced within hours, and one that left long ago is in no directory any more.
-const LEAVING_MAXIMUM: usize = 8_192;
+const DRAINING_MAXIMUM: usize = 8_192;
 
 /// What an answer says of the back end that gave it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackEndNotice {
     /// It leaves: it finishes what it has and must get nothing new.
-    pub leaves: bool,
+    pub draining: bool,
     /// It wants nothing from this node for so long.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// It takes no more than this from all nodes together.
     pub limit: Option<RequestRate>,
 }
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NoticeEffect {
     /// Whether it was not known before that the back end leaves.
-    pub leaves: bool,
+    pub draining: bool,
     /// How long the back end rests from now on, where that is longer than was known before.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// What the back end takes from all nodes together, where that is not what it said before.
     pub limit: Option<LimitChange>,
 }
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ineligibility {
     /// It said so long ago that it leaves that it may end.
-    Leaves,
+    Draining,
     /// It asked for rest that is not over.
-    Rests,
+    BackingOff,
     /// This node has sent it its part of what it takes, or has none.
     AtLimit,
 }
@@ -82,8 +82,8 @@
     /// The word in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
-            Ineligibility::Leaves => "leaves",
-            Ineligibility::Rests => "rests",
+            Ineligibility::Draining => "leaves",
+            Ineligibility::BackingOff => "rests",
             Ineligibility::AtLimit => "at_limit",
         }
     }
@@ -93,78 +93,82 @@
 #[derive(Clone, Debug, Default)]
 pub struct BackEndNotices {
     /// When it was first heard that a life leaves. It is never taken back: nothing but a new life makes a back end stay.
-    leaving: BTreeMap<BackEndId, Timestamp>,
+    draining: BTreeMap<BackEndId, Timestamp>,
     /// The keys of `leaving`, oldest first.
-    leaving_order: VecDeque<BackEndId>,
+    draining_order: VecDeque<BackEndId>,
     /// Until when a life wants nothing.
-    resting: BTreeMap<BackEndId, Timestamp>,
+    backing_off: BTreeMap<BackEndId, Timestamp>,
     /// What lives in need take from all nodes together.
     pub limits: BackEndLimits,
 }
 
 impl BackEndNotices {
     /// Takes in what an answer said that came at `now`.
-    pub fn note(&mut self, id: &BackEndId, notice: BackEndNotice, now: Timestamp) -> NoticeEffect {
-        let leaves = notice.leaves && self.note_leaving(id, now);
-        let rest = notice.rest.and_then(|rest| self.note_rest(id, rest.min(REST_MAXIMUM), now));
-        let limit = notice.limit.and_then(|limit| self.limits.name(id, limit, now));
-        NoticeEffect { leaves, rest, limit }
+    pub fn record(&mut self, id: &BackEndId, notice: BackEndNotice, now: Timestamp) -> NoticeEffect {
+        let draining = notice.draining && self.record_draining(id, now);
+        let backoff = notice.backoff.and_then(|backoff| self.record_backoff(id, backoff.min(BACKOFF_MAXIMUM), now));
+        let limit = notice.limit.and_then(|limit| self.limits.record_limit(id, limit, now));
+        NoticeEffect { draining, backoff, limit }
     }
 
     /// Takes in what a peer tells; returns the back ends of which it was not known.
     pub fn receive(&mut self, notice: &DrainNotice, now: Timestamp) -> Vec<BackEndId> {
-        let told = notice.back_ends.iter().take(DrainNotice::BACK_ENDS_MAXIMUM);
-        let news = told.filter(|told| {
-            let age = Duration::from_millis(u64::from(told.age_millis));
-            self.note_leaving(&told.back_end, now - age)
+        let announced = notice.back_ends.iter().take(DrainNotice::BACK_ENDS_MAXIMUM);
+        let unknown = announced.filter(|announced| {
+            let age = Duration::from_millis(u64::from(announced.age_millis));
+            self.record_draining(&announced.back_end, now - age)
         });
-        news.map(|told| told.back_end.clone()).collect()
+        unknown.map(|announced| announced.back_end.clone()).collect()
     }
 
     /// What peers are told of these back ends, as far as they leave.
-    pub fn told<'i>(&self, ids: impl IntoIterator<Item = &'i BackEndId>, now: Timestamp) -> Vec<DrainingBackEnd> {
-        let told = |id: &BackEndId| {
-            let age = now.since(*self.leaving.get(id)?).as_millis();
+    pub fn announcements<'i>(
+        &self,
+        ids: impl IntoIterator<Item = &'i BackEndId>,
+        now: Timestamp,
+    ) -> Vec<DrainingBackEnd> {
+        let announced = |id: &BackEndId| {
+            let age = now.since(*self.draining.get(id)?).as_millis();
             Some(DrainingBackEnd { back_end: id.clone(), age_millis: u32::try_from(age).unwrap_or(u32::MAX) })
         };
-        ids.into_iter().filter_map(told).collect()
+        ids.into_iter().filter_map(announced).collect()
     }
 
     /// The back ends of which was heard last that they leave, as many as fit one notice.
     pub fn newest(&self, now: Timestamp) -> Vec<DrainingBackEnd> {
-        self.told(self.leaving_order.iter().rev().take(DrainNotice::BACK_ENDS_MAXIMUM), now)
+        self.announcements(self.draining_order.iter().rev().take(DrainNotice::BACK_ENDS_MAXIMUM), now)
     }
 
     /// Takes in that a back end said at `said_at` that it leaves; returns whether that was not known.
-    fn note_leaving(&mut self, id: &BackEndId, said_at: Timestamp) -> bool {
-        if let Some(known) = self.leaving.get_mut(id) {
-            *known = (*known).min(said_at);
+    fn record_draining(&mut self, id: &BackEndId, announced_at: Timestamp) -> bool {
+        if let Some(known) = self.draining.get_mut(id) {
+            *known = (*known).min(announced_at);
             return false;
         }
-        self.leaving.insert(id.clone(), said_at);
-        self.leaving_order.push_back(id.clone());
-        if self.leaving_order.len() > LEAVING_MAXIMUM
-            && let Some(oldest) = self.leaving_order.pop_front()
+        self.draining.insert(id.clone(), announced_at);
+        self.draining_order.push_back(id.clone());
+        if self.draining_order.len() > DRAINING_MAXIMUM
+            && let Some(oldest) = self.draining_order.pop_front()
         {
-            self.leaving.remove(&oldest);
+            self.draining.remove(&oldest);
         }
         true
     }
 
     /// The later end counts: each time of rest that was asked for holds to its end.
-    fn note_rest(&mut self, id: &BackEndId, rest: Duration, now: Timestamp) -> Option<Duration> {
-        self.resting.retain(|_, until| *until > now);
-        let until = now + rest;
-        if self.resting.get(id).is_some_and(|known| *known >= until) {
+    fn record_backoff(&mut self, id: &BackEndId, backoff: Duration, now: Timestamp) -> Option<Duration> {
+        self.backing_off.retain(|_, until| *until > now);
+        let until = now + backoff;
+        if self.backing_off.get(id).is_some_and(|known| *known >= until) {
             return None;
         }
-        self.resting.insert(id.clone(), until);
-        Some(rest)
+        self.backing_off.insert(id.clone(), until);
+        Some(backoff)
     }
 
     /// How long the back end still wants nothing from this node; `None` when it takes requests.
-    pub fn rest_left(&self, id: &BackEndId, now: Timestamp) -> Option<Duration> {
-        let until = self.resting.get(id)?;
+    pub fn backoff_left(&self, id: &BackEndId, now: Timestamp) -> Option<Duration> {
+        let until = self.backing_off.get(id)?;
         (*until > now).then(|| until.since(now))
     }
 
@@ -178,56 +182,56 @@
     /// One that rests is no last resort either: what it would turn away costs a repeat that another one could serve. Without
     /// this, callers are refused for want of a repeat while engines with room stand by.
     pub fn usability(&self, entry: &DirectoryEntry, now: Timestamp) -> Usability {
-        let told = match self.unwelcome(&entry.back_end.id, now) {
+        let announced = match self.ineligibility(&entry.back_end.id, now) {
             Some(_) => Usability::Unusable,
-            None if self.leaving.contains_key(&entry.back_end.id) => Usability::LastResort,
+            None if self.draining.contains_key(&entry.back_end.id) => Usability::LastResort,
             None => Usability::Usable,
         };
-        entry.usability(now).max(told)
+        entry.usability(now).max(announced)
     }
 
     /// Why nothing new may be sent to a back end, by its own word; `None` when something may.
-    pub fn unwelcome(&self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
-        let has_left = self.leaving.get(id).is_some_and(|said_at| now.since(*said_at) >= LAST_RESORT);
-        if has_left {
-            return Some(Ineligibility::Leaves);
+    pub fn ineligibility(&self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
+        let is_drained = self.draining.get(id).is_some_and(|announced_at| now.since(*announced_at) >= LAST_RESORT);
+        if is_drained {
+            return Some(Ineligibility::Draining);
         }
-        if self.rest_left(id, now).is_some() {
-            return Some(Ineligibility::Rests);
+        if self.backoff_left(id, now).is_some() {
+            return Some(Ineligibility::BackingOff);
         }
         self.limits.wait_left(id, now).map(|_| Ineligibility::AtLimit)
     }
 
     /// Notes that this node calls a back end now, for a caller or for itself, and tells what speaks against it. A back end that names a limit
     /// counts each call, whatever it is for.
-    pub fn note_call(&mut self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
-        let unwelcome = self.unwelcome(id, now);
-        self.limits.note_sent(id, now);
-        unwelcome
+    pub fn record_call(&mut self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
+        let ineligibility = self.ineligibility(id, now);
+        self.limits.record_sent(id, now);
+        ineligibility
     }
 
     /// What speaks against a call to a back end; where nothing does, the call is noted. One that is held back takes no turn.
-    pub fn note_call_if_welcome(&mut self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
-        self.unwelcome(id, now).or_else(|| self.note_call(id, now))
+    pub fn record_call_if_eligible(&mut self, id: &BackEndId, now: Timestamp) -> Option<Ineligibility> {
+        self.ineligibility(id, now).or_else(|| self.record_call(id, now))
     }
 
     /// When the first of these back ends takes requests again, where each of them that is usable otherwise rests or is at its limit; `None` where one
     /// takes them now, or none is usable.
-    pub fn all_rest_for<'e>(
+    pub fn wait_until_available<'e>(
         &self,
         entries: impl Iterator<Item = &'e DirectoryEntry>,
         now: Timestamp,
     ) -> Option<Duration> {
-        let stays = |entry: &&DirectoryEntry| {
-            entry.usability(now) == Usability::Usable && !self.leaving.contains_key(&entry.back_end.id)
+        let is_available = |entry: &&DirectoryEntry| {
+            entry.usability(now) == Usability::Usable && !self.draining.contains_key(&entry.back_end.id)
         };
         let waits: Option<Vec<Duration>> =
-            entries.filter(stays).map(|entry| self.wait_left(&entry.back_end.id, now)).collect();
+            entries.filter(is_available).map(|entry| self.wait_left(&entry.back_end.id, now)).collect();
         waits?.into_iter().min()
     }
 
     /// How long the back end still wants nothing, or no more, from this node.
     fn wait_left(&self, id: &BackEndId, now: Timestamp) -> Option<Duration> {
-        self.rest_left(id, now).max(self.limits.wait_left(id, now))
+        self.backoff_left(id, now).max(self.limits.wait_left(id, now))
     }
 }
--- a/crates/core/src/back_ends/former_era.rs
+++ b/crates/core/src/back_ends/previous_era.rs
@@ -11,13 +11,13 @@
 
 /// How long an entry that the copy lacks counts as it was. After it the back end is a last resort for a while. Those that live are written
 /// again within about two seconds; one that is gone must be sent nothing by then.
-pub const WRITTEN_AGAIN: Duration = Duration::from_millis(700);
+pub const REWRITE_GRACE: Duration = Duration::from_millis(700);
 
 /// How long an entry that was gone and is there again gets nothing: it lapses until then if nobody keeps it, after three heartbeats.
-pub const DOUBTED: Duration = Duration::from_secs(5);
+pub const QUARANTINE: Duration = Duration::from_secs(5);
 
 /// How long a life that is gone is remembered; copies are some seconds old.
-const DEPARTED_KEPT: Duration = Duration::from_secs(60);
+const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Lives that are remembered: a fleet may be replaced as a whole in that time.
 const DEPARTED_MAXIMUM: usize = 10_000;
@@ -32,14 +32,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct PreviousEra {
     departed: BTreeMap<BackEndName, Departed>,
-    went_back_at: Option<Timestamp>,
+    restored_at: Option<Timestamp>,
 }
 
 impl PreviousEra {
     /// Notes that a life is gone.
-    pub fn note_departed(&mut self, id: &BackEndId, at: Timestamp) {
+    pub fn record_departed(&mut self, id: &BackEndId, at: Timestamp) {
         if self.departed.len() >= DEPARTED_MAXIMUM {
-            self.departed.retain(|_, departed| at.since(departed.at) < DEPARTED_KEPT);
+            self.departed.retain(|_, departed| at.since(departed.at) < DEPARTED_RETENTION);
         }
         if self.departed.len() < DEPARTED_MAXIMUM {
             self.departed.insert(id.name().clone(), Departed { id: id.clone(), at });
@@ -47,24 +47,24 @@
     }
 
     /// Notes that a life is there, and not only by way of a copy.
-    pub fn note_present(&mut self, id: &BackEndId) {
+    pub fn record_present(&mut self, id: &BackEndId) {
         self.departed.remove(id.name());
     }
 
     /// Notes that the store has gone back.
     pub fn begin(&mut self, now: Timestamp) {
-        self.departed.retain(|_, departed| now.since(departed.at) < DEPARTED_KEPT);
-        self.went_back_at = Some(now);
+        self.departed.retain(|_, departed| now.since(departed.at) < DEPARTED_RETENTION);
+        self.restored_at = Some(now);
     }
 
     /// The moment until which entries that the copy lacks count as they were, while that lies ahead.
     pub fn held_until(&self, now: Timestamp) -> Option<Timestamp> {
-        self.went_back_at.map(|at| at + WRITTEN_AGAIN).filter(|until| now < *until)
+        self.restored_at.map(|at| at + REWRITE_GRACE).filter(|until| now < *until)
     }
 
     /// The moment until which nothing is sent to a life that was gone and is listed again, or to one before it, while that lies ahead.
-    pub fn doubted_until(&self, id: &BackEndId, now: Timestamp) -> Option<Timestamp> {
-        let until = self.went_back_at.map(|at| at + DOUBTED).filter(|until| now < *until)?;
+    pub fn quarantined_until(&self, id: &BackEndId, now: Timestamp) -> Option<Timestamp> {
+        let until = self.restored_at.map(|at| at + QUARANTINE).filter(|until| now < *until)?;
         let is_departed = |departed: &Departed| departed.id == *id || departed.id.started() > id.started();
         self.departed.get(id.name()).is_some_and(is_departed).then_some(until)
     }
--- a/crates/core/src/back_ends/request_rate.rs
+++ b/crates/core/src/back_ends/request_rate.rs
@@ -34,7 +34,7 @@
     }
 
     /// The time from one request to the next at this rate.
-    pub fn pause(self) -> Duration {
+    pub fn interval(self) -> Duration {
         Duration::from_secs_f64(1.0 / self.as_per_second())
     }
 }
--- a/crates/core/src/duties/lease.rs
+++ b/crates/core/src/duties/lease.rs
@@ -125,7 +125,7 @@
 /// previous term back, but the store's revision increases with each write, and the terms increase with it.
 fn version_term_floor(version: ObjectVersion) -> Term {
     let era_floor = era_term_floor(version.era);
-    match version.revision.filter(|_| version.era.is_told()) {
+    match version.revision.filter(|_| version.era.is_reported()) {
         Some(revision) => Term(era_floor.0 + revision.0),
         None => era_floor,
     }
@@ -212,7 +212,7 @@
             return self.take_after(self.config.takeover_delay(), observed, observed.since, now);
         }
         let (era, since) = self.newest_era;
-        let may_be_lost = observed.version.era.is_told();
+        let may_be_lost = observed.version.era.is_reported();
         // A holder in a previous era held the lease before this process learned of the new era.
         let since = if era == observed.version.era { since.min(observed.since) } else { observed.since };
         self.take_after(if may_be_lost { self.config.takeover_delay() } else { Duration::ZERO }, observed, since, now)
@@ -229,7 +229,7 @@
 
     /// Whether a record was written in the era in which it was observed, and doesn't come from an older snapshot.
     fn is_of_observed_era(record: &LeaseRecord, observed: &ObservedLease) -> bool {
-        record.term > era_term_floor(observed.version.era) || !observed.version.era.is_told()
+        record.term > era_term_floor(observed.version.era) || !observed.version.era.is_reported()
     }
 
     /// The term under which orders may be sent at `now`.
@@ -300,7 +300,7 @@
     fn succession_of(&self, write: &LeaseWrite) -> Succession {
         let replaced = self.observed.as_ref().and_then(|observed| Some((observed.record.as_ref()?, observed)));
         let follows = replaced.is_some_and(|(record, observed)| Self::is_of_observed_era(record, observed));
-        match (self.can_resume, follows || !write.expected.era.is_told()) {
+        match (self.can_resume, follows || !write.expected.era.is_reported()) {
             (true, _) => Succession::WentOn,
             (false, true) => Succession::Followed,
             (false, false) => Succession::Began,
--- a/crates/core/src/store/position.rs
+++ b/crates/core/src/store/position.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether the store tells its eras.
-    pub fn is_told(self) -> bool {
+    pub fn is_reported(self) -> bool {
         self.0 > 0
     }
 }
--- a/crates/core/tests/back_end_limits.rs
+++ b/crates/core/tests/back_end_limits.rs
@@ -11,7 +11,7 @@
 
 use arbtest::arbitrary::{self, Unstructured};
 use havengate_core::back_ends::{
-    AnnouncedLimit, BackEndLimits, LIFT_AFTER, LIMIT_FORGOTTEN, LimitChange, LimitNotice, RequestRate, SharingNodes,
+    AnnouncedLimit, BackEndLimits, LIFT_DELAY, LIMIT_EXPIRY, LimitChange, LimitNotice, RequestRate, SharingNodes,
 };
 use havengate_core::relay::PeerNotice;
 use havengate_core::time::Timestamp;
@@ -21,16 +21,16 @@
 const START: Timestamp = Timestamp::from_millis(1_000_000);
 
 /// The platform's bounds: the limit binds from this time after it was first named, over spans of this length, for nodes that have heard it so long ago.
-const BINDS_AFTER: Duration = Duration::from_secs(3);
+const ENFORCED_AFTER: Duration = Duration::from_secs(3);
 const SPAN: Duration = Duration::from_secs(4);
-const HEARD_AGO: Duration = Duration::from_millis(500);
+const RECEIVED_AGO: Duration = Duration::from_millis(500);
 
 /// What a back end may get in a span beyond what its limit allows, as a factor and as a number.
 const EXCESS_FACTOR: f64 = 1.5;
 const EXCESS: f64 = 5.0;
 
 /// Of what it takes, a back end gets this much at least while callers ask for more than that at each node: its places serve callers too.
-const USED_LEAST: f64 = 0.6;
+const UTILIZATION_MINIMUM: f64 = 0.6;
 
 fn after(duration: Duration) -> Timestamp {
     START + duration
@@ -45,7 +45,7 @@
 }
 
 /// A node's view among so many; each of the others is unknown to it with this probability.
-fn nodes_seen_by(own: usize, count: usize, unknown: f64, random: &mut fastrand::Rng) -> SharingNodes {
+fn nodes_known_to(own: usize, count: usize, unknown: f64, random: &mut fastrand::Rng) -> SharingNodes {
     let peers = (0..count).filter(|number| *number != own && random.f64() >= unknown).map(address).collect();
     SharingNodes { own: Some(address(own)), peers, count: 1 }
 }
@@ -60,19 +60,19 @@
     /// The answer to a request that was sent at this moment reaches its node, with what it names.
     Answer { node: usize, sent_at: Timestamp, thousandths: Option<u32> },
     /// This node tells one peer of limits.
-    Tell(usize),
+    Announce(usize),
     /// A notice of a limit reaches this node.
-    Hear { node: usize, thousandths: Option<u32>, age_millis: u32 },
+    Receive { node: usize, thousandths: Option<u32>, age_millis: u32 },
 }
 
 /// A back end that is in need for a while, and nodes whose callers would all send to it.
 struct World {
     nodes: Vec<BackEndLimits>,
     /// When an answer that named a limit first reached a node.
-    heard_at: Vec<Option<Timestamp>>,
+    received_at: Vec<Option<Timestamp>>,
     id: BackEndId,
     limit: f64,
-    need: std::ops::Range<Timestamp>,
+    overload: std::ops::Range<Timestamp>,
     calls_per_second: f64,
     loss: f64,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
@@ -87,19 +87,19 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let nodes = (0..count).map(|own| {
             let mut limits = BackEndLimits::default();
-            limits.set_nodes(nodes_seen_by(own, count, 0.05, &mut random));
+            limits.set_nodes(nodes_known_to(own, count, 0.05, &mut random));
             limits
         });
         let nodes = nodes.collect();
-        let need = after(Duration::from_secs(5))..after(Duration::from_secs(45));
-        let heard_at = vec![None; count];
+        let overload = after(Duration::from_secs(5))..after(Duration::from_secs(45));
+        let received_at = vec![None; count];
         let id = BackEndId::from("in-need");
         let mut world = World {
             nodes,
-            heard_at,
+            received_at,
             id,
             limit,
-            need,
+            overload,
             calls_per_second,
             loss: 0.05,
             events: BinaryHeap::new(),
@@ -108,101 +108,104 @@
             arrivals: Vec::new(),
         };
         for node in 0..count {
-            world.next_call(node, START);
+            world.schedule_call(node, START);
             let pause = Duration::from_millis(world.random.u64(0..1_000));
-            world.put(START + pause, Event::Tell(node));
+            world.schedule(START + pause, Event::Announce(node));
         }
         world
     }
 
-    fn put(&mut self, at: Timestamp, event: Event) {
+    fn schedule(&mut self, at: Timestamp, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn next_call(&mut self, node: usize, now: Timestamp) {
+    fn schedule_call(&mut self, node: usize, now: Timestamp) {
         let pause = -(1.0 - self.random.f64()).ln() / self.calls_per_second;
-        self.put(now + Duration::from_secs_f64(pause), Event::Call(node));
+        self.schedule(now + Duration::from_secs_f64(pause), Event::Call(node));
     }
 
-    fn way(&mut self) -> Duration {
+    fn network_delay(&mut self) -> Duration {
         Duration::from_millis(self.random.u64(1..=20))
     }
 
-    fn play(&mut self, until: Timestamp) {
+    fn run_until(&mut self, until: Timestamp) {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now >= until {
                 return;
             }
-            self.take_place(event, now);
+            self.handle(event, now);
         }
     }
 
-    fn take_place(&mut self, event: Event, now: Timestamp) {
+    fn handle(&mut self, event: Event, now: Timestamp) {
         match event {
             Event::Call(node) => {
-                self.next_call(node, now);
+                self.schedule_call(node, now);
                 if self.nodes[node].wait_left(&self.id, now).is_none() {
-                    self.nodes[node].note_sent(&self.id, now);
-                    let way = self.way();
-                    self.put(now + way, Event::Arrive(node, now));
+                    self.nodes[node].record_sent(&self.id, now);
+                    let network_delay = self.network_delay();
+                    self.schedule(now + network_delay, Event::Arrive(node, now));
                 }
             }
             Event::Arrive(node, sent_at) => {
                 self.arrivals.push((now, node));
-                let thousandths = self.need.contains(&now).then_some((self.limit * 1e3) as u32);
+                let thousandths = self.overload.contains(&now).then_some((self.limit * 1e3) as u32);
                 let took = Duration::from_millis(self.random.u64(1..=400));
-                self.put(now + took, Event::Answer { node, sent_at, thousandths });
+                self.schedule(now + took, Event::Answer { node, sent_at, thousandths });
             }
-            Event::Answer { node, sent_at, thousandths } => self.hear_answer(node, sent_at, thousandths, now),
-            Event::Tell(node) => {
-                self.put(now + Duration::from_secs(1), Event::Tell(node));
-                let told = self.nodes[node].some(&mut self.random, now);
+            Event::Answer { node, sent_at, thousandths } => self.receive_answer(node, sent_at, thousandths, now),
+            Event::Announce(node) => {
+                self.schedule(now + Duration::from_secs(1), Event::Announce(node));
+                let announced = self.nodes[node].sample(&mut self.random, now);
                 let peer = self.random.usize(..self.nodes.len());
-                self.send(&told, peer, now);
+                self.send(&announced, peer, now);
             }
-            Event::Hear { node, thousandths, age_millis } => {
+            Event::Receive { node, thousandths, age_millis } => {
                 let limit = thousandths.map(|thousandths| rate(f64::from(thousandths) / 1e3));
-                let told = AnnouncedLimit { back_end: self.id.clone(), limit, age_millis };
-                let notice = LimitNotice { sender: address(0), limits: vec![told] };
+                let announced = AnnouncedLimit { back_end: self.id.clone(), limit, age_millis };
+                let notice = LimitNotice { sender: address(0), limits: vec![announced] };
                 self.nodes[node].receive(notice, now);
             }
         }
     }
 
-    fn hear_answer(&mut self, node: usize, sent_at: Timestamp, thousandths: Option<u32>, now: Timestamp) {
-        let is_news = match thousandths {
+    fn receive_answer(&mut self, node: usize, sent_at: Timestamp, thousandths: Option<u32>, now: Timestamp) {
+        let is_change = match thousandths {
             Some(thousandths) => {
-                self.heard_at[node].get_or_insert(now);
-                let heard = self.nodes[node].name(&self.id, rate(f64::from(thousandths) / 1e3), now);
-                heard.is_some_and(|heard| heard.begins)
+                self.received_at[node].get_or_insert(now);
+                let received = self.nodes[node].record_limit(&self.id, rate(f64::from(thousandths) / 1e3), now);
+                received.is_some_and(|received| received.is_new)
             }
-            None => self.nodes[node].name_none(&self.id, sent_at),
+            None => self.nodes[node].record_no_limit(&self.id, sent_at),
         };
-        if is_news {
-            let told = self.nodes[node].told([&self.id], now);
-            (0..self.nodes.len()).for_each(|peer| self.send(&told, peer, now));
+        if is_change {
+            let announced = self.nodes[node].announcements([&self.id], now);
+            (0..self.nodes.len()).for_each(|peer| self.send(&announced, peer, now));
         }
     }
 
-    fn send(&mut self, told: &[AnnouncedLimit], peer: usize, now: Timestamp) {
-        for told in told {
+    fn send(&mut self, announced: &[AnnouncedLimit], peer: usize, now: Timestamp) {
+        for announced in announced {
             if self.random.f64() >= self.loss {
-                let thousandths = told.limit.map(|limit| (limit.as_per_second() * 1e3) as u32);
-                let way = self.way();
-                self.put(now + way, Event::Hear { node: peer, thousandths, age_millis: told.age_millis });
+                let thousandths = announced.limit.map(|limit| (limit.as_per_second() * 1e3) as u32);
+                let network_delay = self.network_delay();
+                self.schedule(
+                    now + network_delay,
+                    Event::Receive { node: peer, thousandths, age_millis: announced.age_millis },
+                );
             }
         }
     }
 
     /// The requests of nodes that had heard the limit, in each span that ends with one of them while the limit binds.
     fn spans(&self) -> impl Iterator<Item = usize> {
-        let heard = |(at, node): &&(Timestamp, usize)| {
-            self.heard_at[*node].is_some_and(|heard_at| at.since(heard_at) >= HEARD_AGO)
+        let received = |(at, node): &&(Timestamp, usize)| {
+            self.received_at[*node].is_some_and(|received_at| at.since(received_at) >= RECEIVED_AGO)
         };
-        let counted: Vec<Timestamp> = self.arrivals.iter().filter(heard).map(|(at, _)| *at).collect();
-        let binds = self.need.start + BINDS_AFTER..self.need.end;
-        let ends = counted.clone().into_iter().filter(move |at| binds.contains(at));
+        let counted: Vec<Timestamp> = self.arrivals.iter().filter(received).map(|(at, _)| *at).collect();
+        let enforced = self.overload.start + ENFORCED_AFTER..self.overload.end;
+        let ends = counted.clone().into_iter().filter(move |at| enforced.contains(at));
         ends.map(move |end| counted.iter().filter(|at| **at <= end && end.since(**at) < SPAN).count())
     }
 
@@ -214,23 +217,26 @@
 /// Nodes of any number, one engine in need, and callers that would send it ten times what it takes. Each node knows most of the others, and one
 /// notice in twenty is lost.
 #[test]
-fn nodes_together_keep_within_a_limit_and_use_it() {
+fn nodes_share_a_limit_without_exceeding_or_wasting_it() {
     for (count, limit) in
         [(1, 2.6), (3, 0.1), (7, 3.1), (7, 0.5), (9, 12.5), (63, 3.0), (88, 0.4), (330, 3.3), (330, 25.0)]
     {
         for seed in 1..=10 {
             let calls_per_second = f64::max(10.0 * limit, 5.0);
             let mut world = World::new(seed, count, limit, calls_per_second / count as f64);
-            world.play(world.need.end);
+            world.run_until(world.overload.end);
             let allowed = (EXCESS_FACTOR * limit * SPAN.as_secs_f64() + EXCESS) as usize;
             let most = world.spans().max().unwrap_or(0);
             assert!(most <= allowed, "{count} nodes, limit {limit}, seed {seed}: {most} in a span, {allowed} allowed");
-            let from = world.need.start + BINDS_AFTER;
-            let got = world.arrived_between(from, world.need.end) as f64;
-            let could = limit * world.need.end.since(from).as_secs_f64();
+            let from = world.overload.start + ENFORCED_AFTER;
+            let got = world.arrived_between(from, world.overload.end) as f64;
+            let capacity = limit * world.overload.end.since(from).as_secs_f64();
             // Of many nodes few share the limit, and each of them is asked seldom.
             if count <= 9 && limit >= 0.5 {
-                assert!(got >= USED_LEAST * could, "{count} nodes, limit {limit}, seed {seed}: {got} of {could}");
+                assert!(
+                    got >= UTILIZATION_MINIMUM * capacity,
+                    "{count} nodes, limit {limit}, seed {seed}: {got} of {capacity}"
+                );
             }
         }
     }
@@ -238,117 +244,117 @@
 
 /// The limit ends: all nodes send again, also those that had no part in it.
 #[test]
-fn a_limit_ends_at_all_nodes_when_the_back_end_no_longer_names_it() {
+fn a_limit_is_lifted_at_all_nodes_when_the_back_end_stops_announcing_it() {
     for (count, limit) in [(1, 2.6), (7, 3.1), (63, 3.0), (330, 3.3)] {
         for seed in 1..=10 {
             let calls_per_second = 40.0;
             let mut world = World::new(seed, count, limit, calls_per_second / count as f64);
-            let settled = world.need.end + Duration::from_secs(10);
+            let settled = world.overload.end + Duration::from_secs(10);
             let end = settled + Duration::from_secs(10);
-            world.play(end);
+            world.run_until(end);
             let got = world.arrived_between(settled, end) as f64;
-            let asked = calls_per_second * end.since(settled).as_secs_f64();
-            assert!(got >= 0.8 * asked, "{count} nodes, limit {limit}, seed {seed}: {got} of {asked}");
+            let offered = calls_per_second * end.since(settled).as_secs_f64();
+            assert!(got >= 0.8 * offered, "{count} nodes, limit {limit}, seed {seed}: {got} of {offered}");
         }
     }
 }
 
 /// With no word from anyone a limit is forgotten, and one node asks again.
 #[test]
-fn a_limit_that_nobody_hears_named_is_forgotten() {
+fn a_limit_that_is_not_announced_again_expires() {
     let id = BackEndId::from("in-need");
     let mut limits = BackEndLimits::default();
     limits.set_nodes(SharingNodes { own: Some(address(1)), peers: (2..90).map(address).collect(), count: 89 });
-    limits.name(&id, rate(0.001), START);
-    limits.tidy(after(LIMIT_FORGOTTEN) - Duration::from_millis(1));
-    assert!(limits.wait_left(&id, after(LIMIT_FORGOTTEN)).is_some());
-    limits.tidy(after(LIMIT_FORGOTTEN));
-    assert_eq!(limits.wait_left(&id, after(LIMIT_FORGOTTEN)), None);
+    limits.record_limit(&id, rate(0.001), START);
+    limits.tidy(after(LIMIT_EXPIRY) - Duration::from_millis(1));
+    assert!(limits.wait_left(&id, after(LIMIT_EXPIRY)).is_some());
+    limits.tidy(after(LIMIT_EXPIRY));
+    assert_eq!(limits.wait_left(&id, after(LIMIT_EXPIRY)), None);
 }
 
 /// Answers overtake each other: one to a request that was sent before the word shows nothing.
 #[test]
-fn only_an_answer_to_a_later_request_ends_a_limit() {
+fn only_an_answer_to_a_later_request_lifts_a_limit() {
     let id = BackEndId::from("in-need");
     let mut limits = BackEndLimits::default();
-    assert_eq!(limits.name(&id, rate(2.0), START), Some(LimitChange { limit: rate(2.0), begins: true }));
-    assert_eq!(limits.name(&id, rate(2.0), START), None);
-    assert_eq!(limits.name(&id, rate(3.0), START), Some(LimitChange { limit: rate(3.0), begins: false }));
-    assert!(!limits.name_none(&id, START - Duration::from_millis(1)));
-    assert!(!limits.name_none(&id, after(LIFT_AFTER) - Duration::from_millis(1)));
-    assert!(limits.name_none(&id, after(LIFT_AFTER)));
-    assert_eq!(limits.wait_left(&id, after(LIFT_AFTER)), None);
-    assert!(!limits.name_none(&id, after(LIFT_AFTER)), "it has none");
+    assert_eq!(limits.record_limit(&id, rate(2.0), START), Some(LimitChange { limit: rate(2.0), is_new: true }));
+    assert_eq!(limits.record_limit(&id, rate(2.0), START), None);
+    assert_eq!(limits.record_limit(&id, rate(3.0), START), Some(LimitChange { limit: rate(3.0), is_new: false }));
+    assert!(!limits.record_no_limit(&id, START - Duration::from_millis(1)));
+    assert!(!limits.record_no_limit(&id, after(LIFT_DELAY) - Duration::from_millis(1)));
+    assert!(limits.record_no_limit(&id, after(LIFT_DELAY)));
+    assert_eq!(limits.wait_left(&id, after(LIFT_DELAY)), None);
+    assert!(!limits.record_no_limit(&id, after(LIFT_DELAY)), "it has none");
 }
 
 /// A word of the back end, said at a moment and heard later.
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    said_at: Timestamp,
+struct Statement {
+    announced_at: Timestamp,
     limit: Option<RequestRate>,
 }
 
 /// Words of one back end reach two nodes in any order, some of them twice: both believe what it said last.
-fn the_last_word_counts(unstructured: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+fn latest_statement_wins(unstructured: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     let id = BackEndId::from("in-need");
     let count = unstructured.int_in_range(1..=8)?;
-    let mut words = Vec::new();
+    let mut statements = Vec::new();
     for number in 1..=count {
         let limit = unstructured.ratio(2, 3)?.then(|| rate(number as f64));
-        words.push(Word { said_at: after(Duration::from_millis(number * 700)), limit });
+        statements.push(Statement { announced_at: after(Duration::from_millis(number * 700)), limit });
     }
-    let last = words[words.len() - 1];
-    let now = last.said_at + Duration::from_millis(10);
+    let last = statements[statements.len() - 1];
+    let now = last.announced_at + Duration::from_millis(10);
     for _ in 0..2 {
         let mut limits = BackEndLimits::default();
-        let mut order = words.clone();
+        let mut order = statements.clone();
         for index in (1..order.len()).rev() {
             order.swap(index, unstructured.int_in_range(0..=index)?);
         }
         order.push(order[0]);
-        for word in order {
-            let age_millis = now.since(word.said_at).as_millis() as u32;
-            let told = AnnouncedLimit { back_end: id.clone(), limit: word.limit, age_millis };
-            limits.receive(LimitNotice { sender: address(1), limits: vec![told] }, now);
+        for statement in order {
+            let age_millis = now.since(statement.announced_at).as_millis() as u32;
+            let announced = AnnouncedLimit { back_end: id.clone(), limit: statement.limit, age_millis };
+            limits.receive(LimitNotice { sender: address(1), limits: vec![announced] }, now);
         }
-        let told = limits.told([&id], now);
-        assert_eq!(told, [AnnouncedLimit { back_end: id.clone(), limit: last.limit, age_millis: 10 }]);
+        let announced = limits.announcements([&id], now);
+        assert_eq!(announced, [AnnouncedLimit { back_end: id.clone(), limit: last.limit, age_millis: 10 }]);
     }
     Ok(())
 }
 
 #[test]
-fn nodes_believe_what_a_back_end_said_last_in_whatever_order_it_reaches_them() {
+fn nodes_keep_the_latest_statement_regardless_of_arrival_order() {
     for seed in 1..=300 {
-        arbtest::arbtest(the_last_word_counts).seed(seed << 32 | 0x100);
+        arbtest::arbtest(latest_statement_wins).seed(seed << 32 | 0x100);
     }
 }
 
 #[test]
-fn some_limits_fit_one_datagram_also_under_long_names() {
+fn a_limit_notice_fits_one_datagram_with_long_names() {
     let mut limits = BackEndLimits::default();
     for number in 0..20 {
         let id = BackEndId::of_life(BackEndName::new(format!("{number:0100}")), Some(StartMoment(number)));
-        limits.name(&id, rate(2.5), START);
+        limits.record_limit(&id, rate(2.5), START);
     }
-    let some = limits.some(&mut fastrand::Rng::with_seed(1), after(Duration::from_secs(1)));
-    assert_eq!(some.len(), LimitNotice::LIMITS_MAXIMUM);
-    let notice = PeerNotice::Limits(LimitNotice { sender: address(1), limits: some });
+    let sampled = limits.sample(&mut fastrand::Rng::with_seed(1), after(Duration::from_secs(1)));
+    assert_eq!(sampled.len(), LimitNotice::LIMITS_MAXIMUM);
+    let notice = PeerNotice::Limits(LimitNotice { sender: address(1), limits: sampled });
     let bytes = notice.write_to_vec().expect("it can be written");
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
 }
 
 /// What a peer tells that went wrong on its way, or is old, changes nothing.
 #[test]
-fn news_that_are_too_old_or_too_many_are_not_taken_in() {
+fn expired_or_excess_limits_in_a_notice_are_ignored() {
     let mut limits = BackEndLimits::default();
-    let told = |number: u64, age_millis| AnnouncedLimit {
+    let announced = |number: u64, age_millis| AnnouncedLimit {
         back_end: BackEndId::of_life(BackEndName::new("many"), Some(StartMoment(number))),
         limit: Some(rate(1.0)),
         age_millis,
     };
-    let old = LimitNotice { sender: address(1), limits: vec![told(1, u32::MAX), told(2, 60_000)] };
+    let old = LimitNotice { sender: address(1), limits: vec![announced(1, u32::MAX), announced(2, 60_000)] };
     assert_eq!(limits.receive(old, START), []);
-    let many = LimitNotice { sender: address(1), limits: (0..100).map(|number| told(number, 5)).collect() };
+    let many = LimitNotice { sender: address(1), limits: (0..100).map(|number| announced(number, 5)).collect() };
     assert_eq!(limits.receive(many, START).len(), LimitNotice::LIMITS_MAXIMUM);
 }
--- a/crates/core/tests/back_end_notices.rs
+++ b/crates/core/tests/back_end_notices.rs
@@ -8,8 +8,8 @@
 
 use arbtest::arbitrary::{self, Unstructured};
 use havengate_core::back_ends::{
-    BackEnd, BackEndNotice, BackEndNotices, BackEndState, Directory, DirectoryChange, DirectoryChanges,
-    DirectoryListing, DrainNotice, DrainingBackEnd, Ineligibility, LAST_RESORT, NoticeEffect, REST_MAXIMUM,
+    BACKOFF_MAXIMUM, BackEnd, BackEndNotice, BackEndNotices, BackEndState, Directory, DirectoryChange,
+    DirectoryChanges, DirectoryListing, DrainNotice, DrainingBackEnd, Ineligibility, LAST_RESORT, NoticeEffect,
     RequestRate, Usability,
 };
 use havengate_core::relay::PeerNotice;
@@ -20,10 +20,10 @@
 use support::relay_fixture::back_end;
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
-const LEAVES: BackEndNotice = BackEndNotice { leaves: true, rest: None, limit: None };
+const DRAINING: BackEndNotice = BackEndNotice { draining: true, backoff: None, limit: None };
 
-fn rest(millis: u64) -> BackEndNotice {
-    BackEndNotice { rest: Some(Duration::from_millis(millis)), ..BackEndNotice::default() }
+fn backoff(millis: u64) -> BackEndNotice {
+    BackEndNotice { backoff: Some(Duration::from_millis(millis)), ..BackEndNotice::default() }
 }
 
 fn after(millis: u64) -> Timestamp {
@@ -32,8 +32,11 @@
 
 fn directory_of(back_ends: &[BackEnd]) -> Directory {
     let mut directory = Directory::new();
-    let listing =
-        DirectoryListing { position: Position::from(Revision(1)), back_ends: back_ends.to_vec(), spoiled: Vec::new() };
+    let listing = DirectoryListing {
+        position: Position::from(Revision(1)),
+        back_ends: back_ends.to_vec(),
+        malformed: Vec::new(),
+    };
     assert!(directory.adopt(listing, START));
     directory
 }
@@ -43,144 +46,156 @@
 }
 
 #[test]
-fn one_that_leaves_is_a_last_resort_for_a_moment_and_then_nothing_whatever_the_directory_says() {
-    let stays = back_end(1, None);
-    let mut directory = directory_of(std::slice::from_ref(&stays));
+fn a_draining_back_end_is_a_last_resort_and_then_unusable_whatever_the_directory_lists() {
+    let ready = back_end(1, None);
+    let mut directory = directory_of(std::slice::from_ref(&ready));
     let mut notices = BackEndNotices::default();
-    assert_eq!(notices.note(&stays.id, LEAVES, START), NoticeEffect { leaves: true, ..NoticeEffect::default() });
-    assert_eq!(usability(&notices, &directory, &stays.id, START), Some(Usability::LastResort));
-    let end = START + LAST_RESORT;
-    assert_eq!(usability(&notices, &directory, &stays.id, end), Some(Usability::Unusable));
+    assert_eq!(notices.record(&ready.id, DRAINING, START), NoticeEffect { draining: true, ..NoticeEffect::default() });
+    assert_eq!(usability(&notices, &directory, &ready.id, START), Some(Usability::LastResort));
+    let drain_end = START + LAST_RESORT;
+    assert_eq!(usability(&notices, &directory, &ready.id, drain_end), Some(Usability::Unusable));
     // It says so again, its entry lapses with the store and comes back as it was: nothing of this begins a new moment.
-    assert_eq!(notices.note(&stays.id, LEAVES, end), NoticeEffect::default());
-    let name = stays.id.name().clone();
-    for (revision, change) in [(2, DirectoryChange::Gone(name)), (3, DirectoryChange::Put(stays.clone()))] {
-        directory.apply(DirectoryChanges { position: Position::from(Revision(revision)), changes: vec![change] }, end);
-        assert_eq!(usability(&notices, &directory, &stays.id, end), Some(Usability::Unusable));
+    assert_eq!(notices.record(&ready.id, DRAINING, drain_end), NoticeEffect::default());
+    let name = ready.id.name().clone();
+    for (revision, change) in [(2, DirectoryChange::Gone(name)), (3, DirectoryChange::Put(ready.clone()))] {
+        directory
+            .apply(DirectoryChanges { position: Position::from(Revision(revision)), changes: vec![change] }, drain_end);
+        assert_eq!(usability(&notices, &directory, &ready.id, drain_end), Some(Usability::Unusable));
     }
 }
 
 #[test]
-fn the_earlier_word_counts_where_the_directory_knew_first() {
-    let leaving = BackEnd { state: BackEndState::Draining, ..back_end(1, None) };
-    let directory = directory_of(std::slice::from_ref(&leaving));
+fn the_earlier_drain_time_counts_when_the_directory_learned_first() {
+    let draining_back_end = BackEnd { state: BackEndState::Draining, ..back_end(1, None) };
+    let directory = directory_of(std::slice::from_ref(&draining_back_end));
     let mut notices = BackEndNotices::default();
-    let end = START + LAST_RESORT;
-    notices.note(&leaving.id, LEAVES, end);
-    assert_eq!(usability(&notices, &directory, &leaving.id, end), Some(Usability::Unusable));
+    let drain_end = START + LAST_RESORT;
+    notices.record(&draining_back_end.id, DRAINING, drain_end);
+    assert_eq!(usability(&notices, &directory, &draining_back_end.id, drain_end), Some(Usability::Unusable));
 }
 
 #[test]
-fn a_new_life_of_one_that_left_or_rested_is_used() {
-    let life = |started| BackEnd {
+fn a_new_incarnation_is_usable_after_the_previous_one_drained_or_backed_off() {
+    let incarnation = |started| BackEnd {
         id: BackEndId::of_life(back_end(1, None).id.name().clone(), Some(StartMoment(started))),
         ..back_end(1, None)
     };
-    let (former, present) = (life(1), life(2));
+    let (previous, current) = (incarnation(1), incarnation(2));
     let mut notices = BackEndNotices::default();
-    notices.note(&former.id, BackEndNotice { leaves: true, ..rest(60_000) }, START);
-    let directory = directory_of(std::slice::from_ref(&present));
-    assert_eq!(usability(&notices, &directory, &present.id, after(5_000)), Some(Usability::Usable));
+    notices.record(&previous.id, BackEndNotice { draining: true, ..backoff(60_000) }, START);
+    let directory = directory_of(std::slice::from_ref(&current));
+    assert_eq!(usability(&notices, &directory, &current.id, after(5_000)), Some(Usability::Usable));
 }
 
 #[test]
-fn one_that_rests_is_used_again_at_the_end_of_the_longest_rest_that_it_asked_for() {
-    let resting = back_end(1, None);
-    let directory = directory_of(std::slice::from_ref(&resting));
+fn a_back_end_is_usable_again_after_the_longest_requested_backoff() {
+    let backing_off = back_end(1, None);
+    let directory = directory_of(std::slice::from_ref(&backing_off));
     let mut notices = BackEndNotices::default();
-    assert_eq!(notices.note(&resting.id, rest(3_000), START).rest, Some(Duration::from_millis(3_000)));
-    assert_eq!(notices.note(&resting.id, rest(500), after(1_000)).rest, None, "it ends before the first one");
+    assert_eq!(notices.record(&backing_off.id, backoff(3_000), START).backoff, Some(Duration::from_millis(3_000)));
+    assert_eq!(
+        notices.record(&backing_off.id, backoff(500), after(1_000)).backoff,
+        None,
+        "it ends before the first one"
+    );
     for (millis, expected) in [(0, Usability::Unusable), (2_999, Usability::Unusable), (3_000, Usability::Usable)] {
-        assert_eq!(usability(&notices, &directory, &resting.id, after(millis)), Some(expected), "after {millis} ms");
+        assert_eq!(
+            usability(&notices, &directory, &backing_off.id, after(millis)),
+            Some(expected),
+            "after {millis} ms"
+        );
     }
 }
 
 #[test]
-fn each_call_to_one_in_need_takes_a_turn_and_one_that_is_held_back_takes_none() {
+fn each_call_to_a_limited_back_end_counts_and_a_withheld_call_does_not() {
     let id = back_end(1, None).id;
     let mut notices = BackEndNotices::default();
     let limit = RequestRate::per_second(1.0);
-    notices.note(&id, BackEndNotice { limit, ..BackEndNotice::default() }, START);
+    notices.record(&id, BackEndNotice { limit, ..BackEndNotice::default() }, START);
     assert_eq!(
-        notices.note_call_if_welcome(&id, START),
+        notices.record_call_if_eligible(&id, START),
         Some(Ineligibility::AtLimit),
         "it has just been sent something"
     );
-    assert_eq!(notices.note_call_if_welcome(&id, after(1_000)), None);
-    assert_eq!(notices.note_call_if_welcome(&id, after(1_500)), Some(Ineligibility::AtLimit));
+    assert_eq!(notices.record_call_if_eligible(&id, after(1_000)), None);
+    assert_eq!(notices.record_call_if_eligible(&id, after(1_500)), Some(Ineligibility::AtLimit));
     assert_eq!(
-        notices.note_call(&id, after(1_999)),
+        notices.record_call(&id, after(1_999)),
         Some(Ineligibility::AtLimit),
         "it is made all the same, and counts"
     );
-    assert_eq!(notices.unwelcome(&id, after(2_500)), Some(Ineligibility::AtLimit));
-    assert_eq!(notices.unwelcome(&id, after(2_999)), None);
+    assert_eq!(notices.ineligibility(&id, after(2_500)), Some(Ineligibility::AtLimit));
+    assert_eq!(notices.ineligibility(&id, after(2_999)), None);
 }
 
 #[test]
-fn no_value_of_an_answer_keeps_a_back_end_out_for_ever() {
+fn no_backoff_value_excludes_a_back_end_forever() {
     let mut notices = BackEndNotices::default();
     let id = back_end(1, None).id;
-    let endless = BackEndNotice { rest: Some(Duration::MAX), ..BackEndNotice::default() };
-    assert_eq!(notices.note(&id, endless, START).rest, Some(REST_MAXIMUM));
-    assert_eq!(notices.unwelcome(&id, START + REST_MAXIMUM), None);
+    let endless = BackEndNotice { backoff: Some(Duration::MAX), ..BackEndNotice::default() };
+    assert_eq!(notices.record(&id, endless, START).backoff, Some(BACKOFF_MAXIMUM));
+    assert_eq!(notices.ineligibility(&id, START + BACKOFF_MAXIMUM), None);
 }
 
 #[test]
-fn all_rest_only_where_none_takes_requests() {
+fn a_wait_is_reported_only_when_no_back_end_accepts_requests() {
     let back_ends = [back_end(1, None), back_end(2, None), back_end(3, None)];
     let directory = directory_of(&back_ends);
-    let all_rest_for = |notices: &BackEndNotices| notices.all_rest_for(directory.entries(), START);
+    let wait_until_available = |notices: &BackEndNotices| notices.wait_until_available(directory.entries(), START);
     let mut notices = BackEndNotices::default();
-    notices.note(&back_ends[0].id, rest(3_000), START);
-    notices.note(&back_ends[1].id, rest(2_000), START);
-    assert_eq!(all_rest_for(&notices), None, "the third takes requests");
-    notices.note(&back_ends[2].id, LEAVES, START);
+    notices.record(&back_ends[0].id, backoff(3_000), START);
+    notices.record(&back_ends[1].id, backoff(2_000), START);
+    assert_eq!(wait_until_available(&notices), None, "the third takes requests");
+    notices.record(&back_ends[2].id, DRAINING, START);
     assert_eq!(
-        all_rest_for(&notices),
+        wait_until_available(&notices),
         Some(Duration::from_millis(2_000)),
         "the third leaves, so waiting for it is no use"
     );
-    assert_eq!(notices.all_rest_for(std::iter::empty(), START), None);
+    assert_eq!(notices.wait_until_available(std::iter::empty(), START), None);
 }
 
 #[test]
-fn a_replaced_fleet_is_remembered_and_no_more_than_two() {
+fn drain_statements_of_two_replaced_fleets_are_kept_and_no_more() {
     let mut notices = BackEndNotices::default();
-    let life = |number: u64| BackEndId::of_life(back_end(1, None).id.name().clone(), Some(StartMoment(number)));
+    let incarnation = |number: u64| BackEndId::of_life(back_end(1, None).id.name().clone(), Some(StartMoment(number)));
     let (of_the_design, two_fleets) = (4_100, 8_192);
     for number in 0..=two_fleets {
-        notices.note(&life(number), LEAVES, START);
+        notices.record(&incarnation(number), DRAINING, START);
     }
-    let says = |number| notices.unwelcome(&life(number), START + LAST_RESORT);
-    assert_eq!((says(0), says(two_fleets - of_the_design)), (None, Some(Ineligibility::Leaves)));
+    let ineligibility_of = |number| notices.ineligibility(&incarnation(number), START + LAST_RESORT);
+    assert_eq!(
+        (ineligibility_of(0), ineligibility_of(two_fleets - of_the_design)),
+        (None, Some(Ineligibility::Draining))
+    );
 }
 
 /// What the back end said, as a list; the simplest thing that could be kept.
 #[derive(Default)]
-struct Said {
-    left_at: Option<Timestamp>,
-    rests: Vec<(Timestamp, Duration)>,
+struct Statements {
+    drained_at: Option<Timestamp>,
+    backoffs: Vec<(Timestamp, Duration)>,
 }
 
 /// Notices and changes of the directory in any order: nothing is sent to a back end later than it allows, and it is used when its own word and
 /// the directory allow it.
-fn own_word_holds(unstructured: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+fn own_statements_take_precedence(unstructured: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     let subject = back_end(1, None);
     let mut directory = directory_of(std::slice::from_ref(&subject));
-    let (mut notices, mut said) = (BackEndNotices::default(), Said::default());
+    let (mut notices, mut statements) = (BackEndNotices::default(), Statements::default());
     let (mut now, mut revision) = (START, 1);
     for _ in 0..40 {
         now = now + Duration::from_millis(unstructured.int_in_range(0..=900)?);
         match unstructured.int_in_range(0..=5)? {
             0 => {
-                notices.note(&subject.id, LEAVES, now);
-                said.left_at = said.left_at.or(Some(now));
+                notices.record(&subject.id, DRAINING, now);
+                statements.drained_at = statements.drained_at.or(Some(now));
             }
             1 | 2 => {
                 let millis = unstructured.int_in_range(1..=4_000)?;
-                notices.note(&subject.id, rest(millis), now);
-                said.rests.push((now, Duration::from_millis(millis)));
+                notices.record(&subject.id, backoff(millis), now);
+                statements.backoffs.push((now, Duration::from_millis(millis)));
             }
             change => {
                 revision += 1;
@@ -198,23 +213,23 @@
         let Some(entry) = directory.get(&subject.id) else {
             continue;
         };
-        let rests = said.rests.iter().any(|(from, rest)| now.since(*from) < *rest);
-        let gone = said.left_at.is_some_and(|at| now.since(at) >= LAST_RESORT);
-        let expected = match said.left_at {
-            _ if rests || gone => Usability::Unusable,
+        let is_backing_off = statements.backoffs.iter().any(|(from, backoff)| now.since(*from) < *backoff);
+        let is_drained = statements.drained_at.is_some_and(|at| now.since(at) >= LAST_RESORT);
+        let expected = match statements.drained_at {
+            _ if is_backing_off || is_drained => Usability::Unusable,
             Some(_) => entry.usability(now).max(Usability::LastResort),
             None => entry.usability(now),
         };
         assert_eq!(notices.usability(entry, now), expected);
-        assert_eq!(notices.unwelcome(&subject.id, now).is_some(), rests || gone);
+        assert_eq!(notices.ineligibility(&subject.id, now).is_some(), is_backing_off || is_drained);
     }
     Ok(())
 }
 
 #[test]
-fn a_back_ends_own_word_holds_against_any_course_of_the_directory() {
+fn own_statements_take_precedence_over_any_directory_history() {
     for seed in 1..=300 {
-        arbtest::arbtest(own_word_holds).seed(seed << 32 | 0x200);
+        arbtest::arbtest(own_statements_take_precedence).seed(seed << 32 | 0x200);
     }
 }
 
@@ -224,30 +239,37 @@
 }
 
 #[test]
-fn what_a_peer_tells_counts_from_the_moment_at_which_the_back_end_said_it() {
-    let leaving = back_end(1, None);
-    let directory = directory_of(std::slice::from_ref(&leaving));
+fn a_notice_counts_from_the_time_of_the_back_ends_statement() {
+    let draining_back_end = back_end(1, None);
+    let directory = directory_of(std::slice::from_ref(&draining_back_end));
     let (mut sender, mut receiver) = (BackEndNotices::default(), BackEndNotices::default());
-    sender.note(&leaving.id, LEAVES, START);
-    let told = sender.told([&leaving.id, &back_end(2, None).id], after(400));
-    assert_eq!(told, [DrainingBackEnd { back_end: leaving.id.clone(), age_millis: 400 }], "the second one stays");
+    sender.record(&draining_back_end.id, DRAINING, START);
+    let announced = sender.announcements([&draining_back_end.id, &back_end(2, None).id], after(400));
+    assert_eq!(
+        announced,
+        [DrainingBackEnd { back_end: draining_back_end.id.clone(), age_millis: 400 }],
+        "the second one stays"
+    );
     // It was 100 ms on its way, and this node heard of it itself meanwhile.
-    receiver.note(&leaving.id, LEAVES, after(450));
-    assert_eq!(receiver.receive(&notice(told.clone()), after(500)), []);
-    let said_at = START + Duration::from_millis(100);
-    assert_eq!(usability(&receiver, &directory, &leaving.id, said_at + LAST_RESORT), Some(Usability::Unusable));
-    assert_eq!(BackEndNotices::default().receive(&notice(told), after(500)), [leaving.id]);
+    receiver.record(&draining_back_end.id, DRAINING, after(450));
+    assert_eq!(receiver.receive(&notice(announced.clone()), after(500)), []);
+    let announced_at = START + Duration::from_millis(100);
+    assert_eq!(
+        usability(&receiver, &directory, &draining_back_end.id, announced_at + LAST_RESORT),
+        Some(Usability::Unusable)
+    );
+    assert_eq!(BackEndNotices::default().receive(&notice(announced), after(500)), [draining_back_end.id]);
 }
 
 #[test]
-fn the_newest_that_leave_fit_one_datagram_also_under_long_names() {
+fn the_newest_draining_back_ends_fit_one_datagram_with_long_names() {
     let mut notices = BackEndNotices::default();
     let id = |number: u64| {
         let name = BackEndName::new(format!("{number:0100}"));
         BackEndId::of_life(name, Some(StartMoment(number)))
     };
     (0..20).for_each(|number| {
-        notices.note(&id(number), LEAVES, after(number));
+        notices.record(&id(number), DRAINING, after(number));
     });
     let newest = notices.newest(after(20));
     assert_eq!((newest.len(), &newest[0].back_end), (DrainNotice::BACK_ENDS_MAXIMUM, &id(19)));
--- a/crates/core/tests/back_ends.rs
+++ b/crates/core/tests/back_ends.rs
@@ -18,7 +18,7 @@
 
 fn listing(revision: u64, numbers: &[u8]) -> DirectoryListing {
     let back_ends = numbers.iter().map(|number| back_end(*number, None)).collect();
-    DirectoryListing { position: Position::from(Revision(revision)), back_ends, spoiled: Vec::new() }
+    DirectoryListing { position: Position::from(Revision(revision)), back_ends, malformed: Vec::new() }
 }
 
 fn changes(revision: u64, changes: Vec<DirectoryChange>) -> DirectoryChanges {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_draining_back_end_is_a_last_resort_and_then_nothing() {
+fn a_draining_back_end_is_a_last_resort_and_then_unusable() {
     let mut directory = directory_of(&[1, 2]);
     directory.apply(changes(11, vec![DirectoryChange::Put(draining(1))]), START);
     assert_eq!(usability(&directory, 1, START), Some(Usability::LastResort));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_vanished_entry_is_a_last_resort_until_it_is_forgotten_or_comes_back() {
+fn a_removed_entry_is_a_last_resort_until_it_is_forgotten_or_written_again() {
     let mut directory = directory_of(&[1, 2]);
     directory.apply(changes(11, vec![DirectoryChange::Gone(back_end(1, None).id.name().clone())]), START);
     assert_eq!(usability(&directory, 1, START), Some(Usability::LastResort));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_draining_back_end_is_forgotten_once_it_has_vanished() {
+fn a_draining_back_end_is_forgotten_once_its_entry_is_removed() {
     let mut directory = directory_of(&[1]);
     directory.apply(changes(11, vec![DirectoryChange::Put(draining(1))]), START);
     directory.apply(changes(12, vec![DirectoryChange::Gone(back_end(1, None).id.name().clone())]), START + LAST_RESORT);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_older_listing_or_change_is_not_taken() {
+fn an_older_listing_or_change_is_ignored() {
     let mut directory = directory_of(&[1]);
     assert!(!directory.adopt(listing(9, &[1, 2]), START));
     directory.apply(changes(9, vec![DirectoryChange::Put(back_end(3, None))]), START);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_a_newer_listing_lacks_has_vanished() {
+fn entries_missing_from_a_newer_listing_are_removed() {
     let mut directory = directory_of(&[1, 2]);
     assert!(directory.adopt(listing(20, &[2]), START));
     assert_eq!(usability(&directory, 1, START), Some(Usability::LastResort));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_revision_never_falls() {
+fn the_revision_never_decreases() {
     let property = |choices: &mut arbtest::arbitrary::Unstructured<'_>| {
         let mut directory = Directory::new();
         let mut highest = Position::default();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn many_failures_eject_and_one_probe_at_a_time_comes_back() {
+fn many_failures_eject_and_one_probe_at_a_time_is_admitted() {
     let mut health = health();
     let ejections = (0..10).filter(|_| health.record_failure(START)).count();
     assert_eq!(ejections, 1, "what was under way does not eject again");
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_back_end_that_cant_be_reached_is_ejected_at_once_and_longer_each_time() {
+fn an_unreachable_back_end_is_ejected_at_once_and_longer_each_time() {
     let mut health = health();
     assert!(health.record_unreachable(START));
     let limits = HealthLimits::default();
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_probe_that_never_comes_back_does_not_block_for_ever() {
+fn a_probe_without_an_answer_does_not_block_forever() {
     let mut health = health();
     health.record_unreachable(START);
     let probe = START + HealthLimits::default().back_off_minimum;
@@ -177,8 +177,8 @@
 }
 
 /// Directories as readers of the store and those that they feed hold them: one is led to the other's state by its news.
-fn led_by(news: Option<DirectoryUpdate>, replica: &mut Directory) {
-    match news {
+fn apply_update(update: Option<DirectoryUpdate>, replica: &mut Directory) {
+    match update {
         Some(DirectoryUpdate::Changes(changes)) => drop(replica.apply(changes, START)),
         Some(DirectoryUpdate::Listing(listing)) => drop(replica.adopt(listing, START)),
         None => {}
@@ -186,36 +186,36 @@
 }
 
 #[test]
-fn a_replica_that_is_a_little_behind_gets_the_changes_only() {
+fn a_replica_that_is_slightly_behind_gets_only_the_changes() {
     let mut directory = directory_of(&[1, 2]);
     let mut replica = directory.clone();
     directory.apply(changes(11, vec![DirectoryChange::Put(back_end(3, None))]), START);
     directory.apply(changes(12, Vec::new()), START);
     directory.apply(changes(13, vec![DirectoryChange::Gone(back_end(1, None).id.name().clone())]), START);
-    let news = directory.news_since(replica.position());
-    assert!(matches!(&news, Some(DirectoryUpdate::Changes(news)) if news.changes.len() == 2), "{news:?}");
-    led_by(news, &mut replica);
+    let update = directory.update_since(replica.position());
+    assert!(matches!(&update, Some(DirectoryUpdate::Changes(update)) if update.changes.len() == 2), "{update:?}");
+    apply_update(update, &mut replica);
     assert_eq!(replica.listing(), directory.listing());
 }
 
 #[test]
-fn a_replica_that_lacks_nothing_is_told_so() {
+fn an_up_to_date_replica_gets_a_confirmation() {
     let mut directory = directory_of(&[1]);
     directory.apply(changes(12, Vec::new()), START);
     assert_eq!(directory.changed_at(), Position::from(Revision(10)), "a confirmation is no change");
     let confirmed = Some(DirectoryUpdate::Changes(changes(12, Vec::new())));
-    assert_eq!(directory.news_since(Position::from(Revision(11))), confirmed);
+    assert_eq!(directory.update_since(Position::from(Revision(11))), confirmed);
     assert_eq!(
-        directory.news_since(Position::from(Revision(12))),
+        directory.update_since(Position::from(Revision(12))),
         confirmed,
         "also one that stands at the same revision"
     );
-    assert_eq!(directory.news_since(Position::from(Revision(13))), None, "one that is ahead is told nothing");
-    assert_eq!(Directory::new().news_since(Position::from(Revision(0))), None);
+    assert_eq!(directory.update_since(Position::from(Revision(13))), None, "one that is ahead is told nothing");
+    assert_eq!(Directory::new().update_since(Position::from(Revision(0))), None);
 }
 
 #[test]
-fn what_says_nothing_new_is_no_change() {
+fn a_redundant_update_is_no_change() {
     let mut directory = directory_of(&[1]);
     let unchanged =
         vec![DirectoryChange::Put(back_end(1, None)), DirectoryChange::Gone(back_end(9, None).id.name().clone())];
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_replica_that_was_told_the_first_of_two_changes_by_another_reader_is_told_the_second() {
+fn a_replica_that_got_the_first_of_two_changes_from_another_reader_gets_the_second() {
     let gone = |number: u8| DirectoryChange::Gone(back_end(number, None).id.name().clone());
     let pairs = [
         [DirectoryChange::Put(draining(1)), DirectoryChange::Put(back_end(1, None))],
@@ -243,15 +243,15 @@
         let (mut one, mut other) = (directory_of(&[1]), directory_of(&[1]));
         let mut replica = directory_of(&[1]);
         one.apply(changes(11, vec![first.clone()]), START);
-        led_by(one.news_since(replica.position()), &mut replica);
+        apply_update(one.update_since(replica.position()), &mut replica);
         other.apply(changes(12, vec![first, second.clone()]), START);
-        led_by(other.news_since(replica.position()), &mut replica);
+        apply_update(other.update_since(replica.position()), &mut replica);
         assert_eq!(replica.listing(), other.listing(), "after {second:?}");
     }
 }
 
 #[test]
-fn a_replica_that_is_far_behind_gets_the_whole_directory() {
+fn a_replica_that_is_far_behind_gets_the_full_directory() {
     let mut directory = directory_of(&[1, 2]);
     let mut replica = directory.clone();
     for revision in 11..2_000 {
@@ -263,23 +263,23 @@
         };
         directory.apply(changes(revision, vec![change]), START);
     }
-    let news = directory.news_since(replica.position());
-    assert!(matches!(news, Some(DirectoryUpdate::Listing(_))));
-    led_by(news, &mut replica);
+    let update = directory.update_since(replica.position());
+    assert!(matches!(update, Some(DirectoryUpdate::Listing(_))));
+    apply_update(update, &mut replica);
     assert_eq!(replica.listing(), directory.listing());
     assert!(
-        matches!(directory.news_since(Position::from(Revision(9))), Some(DirectoryUpdate::Listing(_))),
+        matches!(directory.update_since(Position::from(Revision(9))), Some(DirectoryUpdate::Listing(_))),
         "older than all that is known"
     );
 }
 
 /// Readers take batches of the same changes at other revisions; a replica fed by two of them, in any order, ends as they do.
 #[test]
-fn a_replica_that_two_readers_feed_ends_where_they_stand() {
+fn a_replica_fed_by_two_readers_converges_with_them() {
     arbtest::arbtest(|u| {
         let mut readers = [directory_of(&[1, 2, 3]), directory_of(&[1, 2, 3])];
         let mut replica = readers[0].clone();
-        let mut behind: [Vec<(u64, DirectoryChange)>; 2] = Default::default();
+        let mut pending: [Vec<(u64, DirectoryChange)>; 2] = Default::default();
         for revision in 11..60 {
             let number = u.int_in_range(1..=5)?;
             let change = match u.int_in_range(0..=2)? {
@@ -287,20 +287,20 @@
                 1 => DirectoryChange::Put(draining(number)),
                 _ => DirectoryChange::Gone(back_end(number, None).id.name().clone()),
             };
-            for (reader, behind) in readers.iter_mut().zip(&mut behind) {
-                behind.push((revision, change.clone()));
+            for (reader, pending) in readers.iter_mut().zip(&mut pending) {
+                pending.push((revision, change.clone()));
                 if u.ratio(1, 3)? {
-                    let batch = behind.drain(..).map(|(_, change)| change).collect();
+                    let batch = pending.drain(..).map(|(_, change)| change).collect();
                     reader.apply(changes(revision, batch), START);
                 }
             }
-            let feeding = &readers[usize::from(u.ratio(1, 2)?)];
-            led_by(feeding.news_since(replica.position()), &mut replica);
+            let source = &readers[usize::from(u.ratio(1, 2)?)];
+            apply_update(source.update_since(replica.position()), &mut replica);
         }
-        for (reader, behind) in readers.iter_mut().zip(&mut behind) {
-            reader.apply(changes(60, behind.drain(..).map(|(_, change)| change).collect()), START);
+        for (reader, pending) in readers.iter_mut().zip(&mut pending) {
+            reader.apply(changes(60, pending.drain(..).map(|(_, change)| change).collect()), START);
         }
-        led_by(readers[0].news_since(replica.position()), &mut replica);
+        apply_update(readers[0].update_since(replica.position()), &mut replica);
         assert_eq!(readers[0].listing(), readers[1].listing());
         assert_eq!(replica.listing(), readers[0].listing());
         Ok(())
--- a/crates/core/tests/back_ends_histories.rs
+++ b/crates/core/tests/back_ends_histories.rs
@@ -19,17 +19,17 @@
 const TICKS: u64 = 1_200;
 
 /// The last ticks, in which nothing happens any more.
-const CALM: u64 = 240;
+const QUIET_TICKS: u64 = 240;
 
 /// The platform's bound: nobody sends to a back end later than this after the store has taken that it leaves or is gone.
-const LEAVING_BOUND: u64 = 40;
+const DRAIN_BOUND: u64 = 40;
 
 /// A back end that lives has written its entry again by then after the store came back; one that doesn't has lapsed by then.
-const WRITTEN_AGAIN: u64 = 30;
-const LAPSED: u64 = 72;
+const REWRITTEN_WITHIN: u64 = 30;
+const EXPIRED_AFTER: u64 = 72;
 
 /// The longest between two times at which a replica is told what is new.
-const TOLD_WITHIN: u64 = 20;
+const UPDATED_WITHIN: u64 = 20;
 
 const NAMES: u8 = 8;
 const READERS: usize = 2;
@@ -37,7 +37,7 @@
 
 type Entries = BTreeMap<u8, BackEnd>;
 
-fn life(number: u8, started: u64, state: BackEndState) -> BackEnd {
+fn incarnation(number: u8, started: u64, state: BackEndState) -> BackEnd {
     let name = BackEndName::new(format!("engine-{number}"));
     BackEnd { id: BackEndId::of_life(name, Some(StartMoment(started))), state, ..back_end(number, None) }
 }
@@ -53,10 +53,10 @@
 struct Store {
     era: u64,
     state: State,
-    copies: Vec<State>,
-    back_at: u64,
+    snapshots: Vec<State>,
+    available_at: u64,
     /// When the store took, in this era, that a life leaves or is gone.
-    left_at: BTreeMap<BackEndId, u64>,
+    drained_at: BTreeMap<BackEndId, u64>,
 }
 
 impl Store {
@@ -76,10 +76,10 @@
         };
         self.state.changes.push((self.state.revision, change));
         for back_end in before.iter().filter(|before| entry.as_ref().is_none_or(|entry| entry.id != before.id)) {
-            self.left_at.entry(back_end.id.clone()).or_insert(tick);
+            self.drained_at.entry(back_end.id.clone()).or_insert(tick);
         }
         for back_end in entry.iter().filter(|entry| entry.state == BackEndState::Draining) {
-            self.left_at.entry(back_end.id.clone()).or_insert(tick);
+            self.drained_at.entry(back_end.id.clone()).or_insert(tick);
         }
         match entry {
             Some(back_end) => self.state.entries.insert(number, back_end),
@@ -87,18 +87,18 @@
         };
     }
 
-    fn go_back(&mut self, age: usize, back_at: u64) {
-        let kept = self.copies.len().saturating_sub(age).max(1);
-        self.copies.truncate(kept);
-        self.state = self.copies[kept - 1].clone();
+    fn restore(&mut self, age: usize, available_at: u64) {
+        let kept = self.snapshots.len().saturating_sub(age).max(1);
+        self.snapshots.truncate(kept);
+        self.state = self.snapshots[kept - 1].clone();
         self.era += 1;
-        self.back_at = back_at;
-        self.left_at.clear();
+        self.available_at = available_at;
+        self.drained_at.clear();
     }
 
     fn listing(&self) -> DirectoryListing {
         let back_ends = self.state.entries.values().cloned().collect();
-        DirectoryListing { position: self.position(), back_ends, spoiled: Vec::new() }
+        DirectoryListing { position: self.position(), back_ends, malformed: Vec::new() }
     }
 
     /// What a watch from `after` tells; `None` where the store doesn't have that.
@@ -106,8 +106,11 @@
         if after.era != self.position().era || after > self.position() {
             return None;
         }
-        let news = self.state.changes.iter().filter(|(revision, _)| *revision > after.revision.0);
-        Some(DirectoryChanges { position: self.position(), changes: news.map(|(_, change)| change.clone()).collect() })
+        let update = self.state.changes.iter().filter(|(revision, _)| *revision > after.revision.0);
+        Some(DirectoryChanges {
+            position: self.position(),
+            changes: update.map(|(_, change)| change.clone()).collect(),
+        })
     }
 }
 
@@ -115,16 +118,16 @@
 struct Replica {
     directory: Directory,
     /// Lives that it has seen leave or go.
-    seen_leaving: BTreeSet<BackEndId>,
+    seen_draining: BTreeSet<BackEndId>,
 }
 
 impl Replica {
     fn apply(&mut self, changes: DirectoryChanges, now: Timestamp) -> bool {
         for change in &changes.changes {
-            let is_it = |name: &BackEndName| matches!(change, DirectoryChange::Gone(gone) if gone == name);
+            let has_name = |name: &BackEndName| matches!(change, DirectoryChange::Gone(gone) if gone == name);
             let listed = self.directory.entries().filter(|entry| entry.listed);
-            let gone = listed.map(|entry| &entry.back_end.id).find(|id| is_it(id.name()));
-            self.seen_leaving.extend(gone.cloned());
+            let gone = listed.map(|entry| &entry.back_end.id).find(|id| has_name(id.name()));
+            self.seen_draining.extend(gone.cloned());
         }
         self.directory.apply(changes, now)
     }
@@ -141,7 +144,13 @@
 
 impl World {
     fn start(seed: u64) -> Self {
-        let store = Store { era: 1, state: State::default(), copies: Vec::new(), back_at: 0, left_at: BTreeMap::new() };
+        let store = Store {
+            era: 1,
+            state: State::default(),
+            snapshots: Vec::new(),
+            available_at: 0,
+            drained_at: BTreeMap::new(),
+        };
         let mut world = World {
             random: fastrand::Rng::with_seed(seed),
             store,
@@ -149,28 +158,28 @@
             replicas: vec![Replica::default(); REPLICAS],
             starts: 0,
         };
-        (0..NAMES).for_each(|number| world.start_life(number, 0));
+        (0..NAMES).for_each(|number| world.start_incarnation(number, 0));
         world
     }
 
-    fn start_life(&mut self, number: u8, tick: u64) {
+    fn start_incarnation(&mut self, number: u8, tick: u64) {
         self.starts += 1;
-        let back_end = life(number, self.starts, BackEndState::Ready);
+        let back_end = incarnation(number, self.starts, BackEndState::Ready);
         self.live.insert(number, back_end.clone());
         self.write(number, Some(back_end), tick);
     }
 
     /// Writes an entry, which the store doesn't take while it is away.
     fn write(&mut self, number: u8, entry: Option<BackEnd>, tick: u64) {
-        if tick >= self.store.back_at {
+        if tick >= self.store.available_at {
             self.store.write(number, entry, tick);
         }
     }
 
-    fn happen(&mut self, tick: u64) {
+    fn apply_random_event(&mut self, tick: u64) {
         let number = self.random.u8(..NAMES);
         match self.random.u32(..160) {
-            0 => self.start_life(number, tick),
+            0 => self.start_incarnation(number, tick),
             1 | 2 => {
                 if let Some(back_end) = self.live.get_mut(&number) {
                     back_end.state = BackEndState::Draining;
@@ -180,22 +189,22 @@
             }
             3 if self.live.remove(&number).is_some() => self.write(number, None, tick),
             // Away again before entries of those that are gone have lapsed, they may be used.
-            4 if tick > self.store.back_at + LAPSED + TOLD_WITHIN => {
-                let (age, away) = (self.random.usize(1..120), self.random.u64(..40));
-                self.store.go_back(age, tick + away);
+            4 if tick > self.store.available_at + EXPIRED_AFTER + UPDATED_WITHIN => {
+                let (age, outage) = (self.random.usize(1..120), self.random.u64(..40));
+                self.store.restore(age, tick + outage);
             }
             _ => {}
         }
     }
 
     /// Those that live write their entries again, those of others lapse.
-    fn write_again(&mut self, tick: u64) {
-        let since = tick.saturating_sub(self.store.back_at);
+    fn rewrite_entries(&mut self, tick: u64) {
+        let since = tick.saturating_sub(self.store.available_at);
         for number in 0..NAMES {
             let live = self.live.get(&number).cloned();
             let is_due = match live {
-                Some(_) => since >= WRITTEN_AGAIN || self.random.u64(..WRITTEN_AGAIN) == 0,
-                None => since >= LAPSED,
+                Some(_) => since >= REWRITTEN_WITHIN || self.random.u64(..REWRITTEN_WITHIN) == 0,
+                None => since >= EXPIRED_AFTER,
             };
             if is_due && self.store.state.entries.get(&number) != live.as_ref() {
                 self.write(number, live, tick);
@@ -203,12 +212,12 @@
         }
     }
 
-    fn learn(&mut self, tick: u64) {
+    fn update_replicas(&mut self, tick: u64) {
         let now = Timestamp::from_millis(100_000) + TICK * tick as u32;
         for index in 0..REPLICAS {
             // Each is told within a second, most of the time much sooner.
-            let is_told = self.random.u32(..4) == 0 || tick % TOLD_WITHIN == index as u64;
-            if !is_told {
+            let is_updated = self.random.u32(..4) == 0 || tick % UPDATED_WITHIN == index as u64;
+            if !is_updated {
                 continue;
             }
             if index < READERS {
@@ -216,11 +225,11 @@
             } else {
                 let reader = self.random.usize(..READERS);
                 // Nodes hear of each other's era before they ask each other.
-                let heard_of = Position { revision: Revision(0), ..self.replicas[reader].directory.position() };
-                let position = self.replicas[index].directory.position().max(heard_of);
-                let news = self.replicas[reader].directory.news_since(position);
+                let learned = Position { revision: Revision(0), ..self.replicas[reader].directory.position() };
+                let position = self.replicas[index].directory.position().max(learned);
+                let update = self.replicas[reader].directory.update_since(position);
                 let replica = &mut self.replicas[index];
-                match news {
+                match update {
                     Some(DirectoryUpdate::Changes(changes)) => drop(replica.apply(changes, now)),
                     Some(DirectoryUpdate::Listing(listing)) => drop(replica.directory.adopt(listing, now)),
                     None => {}
@@ -230,7 +239,7 @@
     }
 
     fn read(&mut self, reader: usize, tick: u64, now: Timestamp) {
-        if tick < self.store.back_at {
+        if tick < self.store.available_at {
             return;
         }
         let replica = &mut self.replicas[reader];
@@ -242,24 +251,24 @@
     }
 
     /// What is wrong now, if anything is.
-    fn fault(&mut self, tick: u64) -> Option<String> {
+    fn violation(&mut self, tick: u64) -> Option<String> {
         let now = Timestamp::from_millis(100_000) + TICK * tick as u32;
         // A node that the store doesn't reach is not bound by what it takes.
-        let is_bound = tick >= self.store.back_at + LEAVING_BOUND;
+        let is_bound = tick >= self.store.available_at + DRAIN_BOUND;
         for replica in &mut self.replicas {
             for entry in replica.directory.entries() {
                 let id = &entry.back_end.id;
                 let is_usable = entry.usability(now) == Usability::Usable;
-                let left_at = self.store.left_at.get(id).filter(|_| is_bound);
-                if is_usable && left_at.is_some_and(|left_at| tick > left_at + LEAVING_BOUND) {
+                let drained_at = self.store.drained_at.get(id).filter(|_| is_bound);
+                if is_usable && drained_at.is_some_and(|drained_at| tick > drained_at + DRAIN_BOUND) {
                     return Some(format!("tick {tick}: {id:?} is used after the bound"));
                 }
                 let is_live = self.live.values().any(|live| live.id == *id && live.state == BackEndState::Ready);
-                if is_usable && !is_live && replica.seen_leaving.contains(id) {
+                if is_usable && !is_live && replica.seen_draining.contains(id) {
                     return Some(format!("tick {tick}: {id:?} was seen to leave and is used"));
                 }
                 if entry.back_end.state == BackEndState::Draining {
-                    replica.seen_leaving.insert(id.clone());
+                    replica.seen_draining.insert(id.clone());
                 }
             }
         }
@@ -278,24 +287,24 @@
     }
 }
 
-fn fault(seed: u64) -> Option<String> {
+fn violation(seed: u64) -> Option<String> {
     let mut world = World::start(seed);
     for tick in 0..TICKS {
-        world.store.copies.push(world.store.state.clone());
-        if tick + CALM < TICKS {
-            world.happen(tick);
+        world.store.snapshots.push(world.store.state.clone());
+        if tick + QUIET_TICKS < TICKS {
+            world.apply_random_event(tick);
         }
-        world.write_again(tick);
-        world.learn(tick);
-        if let Some(fault) = world.fault(tick) {
-            return Some(fault);
+        world.rewrite_entries(tick);
+        world.update_replicas(tick);
+        if let Some(violation) = world.violation(tick) {
+            return Some(violation);
         }
     }
     (!world.is_settled(TICKS)).then(|| "the replicas don't agree with what lives in the end".to_owned())
 }
 
 #[test]
-fn over_stores_that_go_back_no_leaver_is_used_after_its_bound_and_all_agree_in_the_end() {
-    let faults: Vec<(u64, String)> = (0..2_000).filter_map(|seed| Some((seed, fault(seed)?))).collect();
-    assert!(faults.is_empty(), "{} faults, the first of them {:?}", faults.len(), faults.first());
+fn draining_back_ends_are_unused_after_the_bound_and_replicas_converge_across_restores() {
+    let violations: Vec<(u64, String)> = (0..2_000).filter_map(|seed| Some((seed, violation(seed)?))).collect();
+    assert!(violations.is_empty(), "{} faults, the first of them {:?}", violations.len(), violations.first());
 }
--- a/crates/relay/src/cache_survey.rs
+++ b/crates/relay/src/cache_survey.rs
@@ -72,7 +72,7 @@
     let now = traffic.clock.now();
     let mut notices = traffic.notices.lock();
     let is_usable = notices.usability(entry, now) == Usability::Usable;
-    is_usable && notices.note_call(&entry.back_end.id, now).is_none()
+    is_usable && notices.record_call(&entry.back_end.id, now).is_none()
 }
 
 /// What `engine` keeps of long prompts' shared parts; `None` when it does not tell.
--- a/crates/relay/src/callers/candidates.rs
+++ b/crates/relay/src/callers/candidates.rs
@@ -58,7 +58,7 @@
     let knowledge = traffic.knowledge.load();
     let answers = |entry: &&DirectoryEntry| entry.back_end.stage != Some(EngineStage::Prefill);
     let entries = knowledge.directory.of_service(service).filter(answers);
-    traffic.notices.lock().all_rest_for(entries, traffic.clock.now())
+    traffic.notices.lock().wait_until_available(entries, traffic.clock.now())
 }
 
 /// This node's part of the connections that a back end accepts from all nodes together.
--- a/crates/relay/src/callers/send_step.rs
+++ b/crates/relay/src/callers/send_step.rs
@@ -112,7 +112,7 @@
 
 /// Notes a send, and tells of one that its back end's own word speaks against. There are none but those that were decided before it came.
 fn note_call<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, now: Timestamp) {
-    let unwelcome = traffic.notices.lock().note_call(&back_end.id, now);
+    let unwelcome = traffic.notices.lock().record_call(&back_end.id, now);
     if let Some(unwelcome) = unwelcome {
         let (request, code) = (request.head.id_text(), unwelcome.code());
         traffic.metrics.record_ineligible_send(code);
@@ -125,21 +125,21 @@
     if notice == BackEndNotice::default() {
         return;
     }
-    let heard = traffic.notices.lock().note(&back_end.id, notice, traffic.clock.now());
+    let heard = traffic.notices.lock().record(&back_end.id, notice, traffic.clock.now());
     let request = request.head.id_text();
-    if heard.leaves {
+    if heard.draining {
         traffic.readings.queue_drain_announcement(&back_end.id);
         traffic.metrics.record_notice("leaves");
         log::info!(event = "back_end_leaves", back_end:% = back_end.id, told_by = "answer", request; "");
     }
-    if let Some(rest) = heard.rest {
+    if let Some(rest) = heard.backoff {
         traffic.metrics.record_notice("rests");
         let rest_ms = whole_millis(rest);
         log::info!(event = "back_end_rests", back_end:% = back_end.id, rest_ms, request; "");
     }
-    if let Some(LimitChange { limit, begins }) = heard.limit {
+    if let Some(LimitChange { limit, is_new }) = heard.limit {
         // Another number reaches peers in the course of things: an engine may name a new one in each answer.
-        if begins {
+        if is_new {
             traffic.readings.queue_limit_announcement(&back_end.id);
         }
         traffic.metrics.record_notice("limits");
@@ -149,7 +149,7 @@
 
 /// Takes in that an answer to a request that was sent at `sent_at` named no limit.
 fn note_no_limit<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, sent_at: Timestamp) {
-    let ended = traffic.notices.lock().limits.name_none(&back_end.id, sent_at);
+    let ended = traffic.notices.lock().limits.record_no_limit(&back_end.id, sent_at);
     if ended {
         traffic.readings.queue_limit_announcement(&back_end.id);
         let request = request.head.id_text();
--- a/crates/relay/src/control/learner.rs
+++ b/crates/relay/src/control/learner.rs
@@ -263,7 +263,7 @@
         if listing.position < asked_from && asked_from == own {
             log::warn!(event = "store_behind", position:% = listing.position, own:% = own; "");
             self.replace_directory(listing, confirmed_at, Source::Store, |directory, listing, now| {
-                directory.adopt_older(listing, now);
+                directory.adopt_restored(listing, now);
                 true
             });
         } else {
@@ -283,7 +283,7 @@
         source: Source,
         replace: impl FnOnce(&mut Directory, DirectoryListing, Timestamp) -> bool,
     ) {
-        let (position, back_ends, malformed) = (listing.position, listing.back_ends.len(), listing.spoiled.len());
+        let (position, back_ends, malformed) = (listing.position, listing.back_ends.len(), listing.malformed.len());
         let own = self.directory.borrow().position();
         let is_behind = self.directory.borrow().is_behind(position);
         self.observe_era(position.era);
@@ -307,8 +307,8 @@
         let now = self.clock.now();
         let count = |holds: &dyn Fn(&DirectoryEntry) -> bool| directory.entries().filter(|entry| holds(entry)).count();
         let retained = count(&|entry| !entry.listed);
-        let quarantined = count(&|entry| entry.doubted_until.is_some_and(|until| now < until));
-        let draining = count(&|entry| entry.listed && entry.left_before_copy);
+        let quarantined = count(&|entry| entry.quarantined_until.is_some_and(|until| now < until));
+        let draining = count(&|entry| entry.listed && entry.drained_before_restore);
         log::warn!(
             event = "store_went_back",
             position:%,
@@ -334,10 +334,10 @@
         let own = self.directory.borrow().position();
         let put = changes.changes.iter().filter_map(|change| match change {
             DirectoryChange::Put(back_end) => Some(back_end),
-            DirectoryChange::Gone(_) | DirectoryChange::Spoiled(_) => None,
+            DirectoryChange::Gone(_) | DirectoryChange::Malformed(_) => None,
         });
         self.report_restarts(position, put);
-        let is_malformed = |change: &&DirectoryChange| matches!(change, DirectoryChange::Spoiled(_));
+        let is_malformed = |change: &&DirectoryChange| matches!(change, DirectoryChange::Malformed(_));
         let malformed = changes.changes.iter().filter(is_malformed).count();
         if !self.directory.borrow_mut().apply(changes, self.clock.now()) {
             self.report_outdated_update(position, own, source);
@@ -361,7 +361,7 @@
         let last: BTreeMap<&BackEndName, &BackEndId> =
             back_ends.into_iter().map(|back_end| (back_end.id.name(), &back_end.id)).collect();
         for id in last.into_values() {
-            let Some(previous) = directory.former_life(id) else {
+            let Some(previous) = directory.other_incarnation(id) else {
                 continue;
             };
             self.metrics.record_new_incarnation();
@@ -390,13 +390,13 @@
     /// As long as the store was never restored, every position without an era belongs to the only era that there was.
     pub fn with_own_era(&self, peer: Address, answer: PullAnswer) -> PullAnswer {
         let era = self.directory.borrow().position().era;
-        if !era.is_told() || !self.observed_eras.lacks_era(peer) {
+        if !era.is_reported() || !self.observed_eras.lacks_era(peer) {
             return answer;
         }
-        let has_single_era = !self.directory.borrow().went_back();
+        let has_single_era = !self.directory.borrow().was_restored();
         PullAnswer {
             newest_at: answer.newest_at.filter(|_| has_single_era).map(|at| Position::new(era, at.revision)),
-            directory: answer.directory.filter(|_| has_single_era).map(|update| update.of_era(era)),
+            directory: answer.directory.filter(|_| has_single_era).map(|update| update.with_era(era)),
             ..answer
         }
     }
@@ -484,7 +484,7 @@
             newest: knowledge.configuration_number(),
             newest_at: self.configuration_position_for(pull.directory.era),
             configuration: pull.configuration.map(|base| self.updates_since(base)).unwrap_or_default(),
-            directory: self.directory.borrow().news_since(pull.directory),
+            directory: self.directory.borrow().update_since(pull.directory),
             ages: KnowledgeAges {
                 configuration_millis: age(self.configuration_confirmed_at.get()),
                 configuration_shown_millis: age(self.configuration_shown.get()),
@@ -498,10 +498,10 @@
     /// `era`.
     fn configuration_position_for(&self, era: StoreEra) -> Option<Position> {
         let own = self.configuration_position.get()?;
-        if era.is_told() || !own.era.is_told() {
+        if era.is_reported() || !own.era.is_reported() {
             return Some(own);
         }
-        (!self.directory.borrow().went_back()).then(|| own.without_era())
+        (!self.directory.borrow().was_restored()).then(|| own.without_era())
     }
 
     fn publish_directory(&self, confirmed_at: Timestamp, changed: bool) {
--- a/crates/relay/src/control/observed_eras.rs
+++ b/crates/relay/src/control/observed_eras.rs
@@ -57,7 +57,7 @@
     pub fn record_peer(&self, peer: Address, directory: Position, now: Timestamp) {
         self.observe(directory.era, now);
         let mut peers_without_era = self.peers_without_era.borrow_mut();
-        if directory.era.is_told() {
+        if directory.era.is_reported() {
             peers_without_era.remove(&peer);
         } else if directory != Position::default() && peers_without_era.len() < PEERS_WITHOUT_ERA_MAXIMUM {
             peers_without_era.insert(peer);
--- a/crates/relay/src/control/stages/stage_controller.rs
+++ b/crates/relay/src/control/stages/stage_controller.rs
@@ -263,7 +263,7 @@
             };
             // Orders follow the rules of other calls: an engine that drains or backs off gets its order when it accepts
             // requests again, or never.
-            if let Some(ineligibility) = self.notices.lock().note_call_if_welcome(&engine, self.now()) {
+            if let Some(ineligibility) = self.notices.lock().record_call_if_eligible(&engine, self.now()) {
                 log::info!(event = "stage_order_waits", back_end:% = engine, back_end_says = ineligibility.code(); "");
                 continue;
             }
--- a/crates/relay/src/peer_notices/announcements.rs
+++ b/crates/relay/src/peer_notices/announcements.rs
@@ -161,7 +161,7 @@
     pub(super) async fn announce_drains(self) {
         loop {
             let pending = self.shared.pending_drains.take(DrainNotice::BACK_ENDS_MAXIMUM).await;
-            let draining = self.shared.notices.lock().told(&pending, self.shared.clock.now());
+            let draining = self.shared.notices.lock().announcements(&pending, self.shared.clock.now());
             let peers = Arc::clone(&self.shared.knowledge.load().peers);
             self.send_drains(draining, &peers).await;
             sleep(DRAINING_PAUSE).await;
--- a/crates/relay/src/peer_notices/limits.rs
+++ b/crates/relay/src/peer_notices/limits.rs
@@ -47,7 +47,7 @@
     pub(super) async fn announce_limits(self) {
         loop {
             let pending = self.shared.pending_limits.take(LimitNotice::LIMITS_MAXIMUM).await;
-            let announced = self.shared.notices.lock().limits.told(&pending, self.shared.clock.now());
+            let announced = self.shared.notices.lock().limits.announcements(&pending, self.shared.clock.now());
             let peers = Arc::clone(&self.shared.knowledge.load().peers);
             self.send_limits(announced, &peers).await;
             sleep(LIMITS_PAUSE).await;
@@ -67,7 +67,7 @@
     /// Sends some rate limits to a peer.
     pub(super) async fn send_some_limits(&self, receiver: Address) {
         let mut random = fastrand::Rng::new();
-        let announced = self.shared.notices.lock().limits.some(&mut random, self.shared.clock.now());
+        let announced = self.shared.notices.lock().limits.sample(&mut random, self.shared.clock.now());
         self.send_limits(announced, &[receiver]).await;
     }
 
--- a/crates/relay/tests/learner.rs
+++ b/crates/relay/tests/learner.rs
@@ -154,7 +154,7 @@
     let listing = DirectoryListing {
         position: Position::from(Revision(10)),
         back_ends: vec![incarnation(1)],
-        spoiled: Vec::new(),
+        malformed: Vec::new(),
     };
     let now = || node.learner.clock().now();
     node.learner.adopt_listing(listing, now(), Source::Store);
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -199,7 +199,7 @@
         changes: vec![
             DirectoryChange::Put(back_end(Some(EngineStage::Prefill), BackEndState::Ready)),
             DirectoryChange::Gone(name.clone()),
-            DirectoryChange::Spoiled(name),
+            DirectoryChange::Malformed(name),
         ],
     }
 }
@@ -208,7 +208,7 @@
     DirectoryListing {
         position: Position::from(Revision(1_240)),
         back_ends: vec![back_end(None, BackEndState::Draining)],
-        spoiled: vec![BackEndName::new("engine-c")],
+        malformed: vec![BackEndName::new("engine-c")],
     }
 }
 
