--- a/crates/core/src/back_ends/back_end.rs
+++ b/crates/core/src/back_ends/back_end.rs
@@ -1,4 +1,4 @@
-//! A back end as the directory describes it.
+//! A back end as listed in the directory.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
@@ -8,23 +8,23 @@
 /// Whether a back end takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub enum BackEndState {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It is leaving: it finishes what it has and must get nothing new.
+    /// Finishes its running requests and must get no new ones.
     Draining,
 }
 
-/// The part of a request that a model engine works on.
+/// The stage of a request that a model engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub enum EngineStage {
-    /// Reads prompts and hands out handles of their KV cache.
+    /// Processes prompts and returns handles to their KV cache.
     Prefill,
-    /// Generates answers, from another engine's KV cache or from a prompt that it reads itself.
+    /// Generates answers, from another engine's KV cache or after its own prefill.
     Decode,
 }
 
 impl EngineStage {
-    /// The word in logs and metrics.
+    /// The name in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             EngineStage::Prefill => "prefill",
@@ -33,24 +33,25 @@
     }
 }
 
-/// One life of a back end.
+/// One incarnation of a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct BackEnd {
-    /// The identity of this life; each request that is sent names the back end, so that another one at the address refuses.
+    /// The identity of this incarnation. Each request names it, so that a different back end at the same address
+    /// refuses it.
     pub id: BackEndId,
-    /// The service that it belongs to.
+    /// The service that the back end belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: Address,
     /// The zone that it runs in.
     pub zone: ZoneName,
-    /// The requests that it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: BackEndState,
     /// The stage that it serves; `None` for plain applications.
     pub stage: Option<EngineStage>,
-    /// Whether it may be taken away, with all like it in its zone.
+    /// Whether it may be preempted, together with all preemptible back ends of its zone.
     #[serde(default)]
     pub preemptible: bool,
 }
--- a/crates/core/src/back_ends/directory.rs
+++ b/crates/core/src/back_ends/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of back ends: a replica of what they write into the store, with the position that it stands at.
+//! The directory of back ends: a replica of the entries that they write into the store, with its store position.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,28 +11,29 @@
 use crate::time::Timestamp;
 use crate::world::{BackEndId, BackEndName, ServiceName};
 
-/// Spoiled entries that are remembered: another writer may leave any number of them.
+/// The largest number of malformed entries that is recorded: foreign writers may leave any number of them.
 const MALFORMED_MAXIMUM: usize = 1_000;
 
-/// A node's replica of the directory. Its position never falls, but where the store goes back without a word.
+/// A node's replica of the directory. Its position never decreases, except when the store is restored from an older
+/// snapshot without reporting a new era.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     position: Position,
-    /// The position of the last change that was not only a confirmation.
+    /// The position of the last change; confirmations don't count.
     changed_at: Position,
     known: bool,
-    /// By name: a back end has one life at a time.
+    /// By name: a back end has one incarnation at a time.
     entries: BTreeMap<BackEndName, DirectoryEntry>,
-    /// Entries that were spoiled: who is told the whole directory must not take them for vanished a moment ago.
+    /// Malformed entries. A replica that receives the full directory must not treat them as just removed.
     malformed: BTreeSet<BackEndName>,
     history: ChangeHistory,
     previous_era: PreviousEra,
-    /// Whether the store went back since the directory was first read.
+    /// Whether the store was restored from an older snapshot since the directory was first read.
     was_restored: bool,
 }
 
 impl Directory {
-    /// An empty directory, of which nothing is known yet.
+    /// An empty directory that has not been read yet.
     pub fn new() -> Self {
         Directory::default()
     }
@@ -42,32 +43,32 @@
         self.known
     }
 
-    /// The position that the directory stands at.
+    /// The store position of the directory.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// The position of the last change: a replica that stands there or later lacks nothing.
+    /// The position of the last change: a replica at this position or a later one lacks no change.
     pub fn changed_at(&self) -> Position {
         self.changed_at
     }
 
-    /// Whether the store went back to an older copy since the directory was first read.
+    /// Whether the store was restored from an older snapshot since the directory was first read.
     pub fn was_restored(&self) -> bool {
         self.was_restored
     }
 
-    /// All back ends that are ready or draining, and those whose entry vanished a moment ago.
+    /// All back ends that are ready or draining, and those whose entry was removed a moment ago.
     pub fn entries(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.entries.values()
     }
 
-    /// The entry of a back end, if this life is its present one.
+    /// The entry of a back end, if `id` is its current incarnation.
     pub fn get(&self, id: &BackEndId) -> Option<&DirectoryEntry> {
         self.entries.get(id.name()).filter(|entry| entry.back_end.id == *id)
     }
 
-    /// The life that the back end of this name has here, where that is another one.
+    /// The incarnation that the directory lists under the name of `id`, if it is a different one.
     pub fn other_incarnation(&self, id: &BackEndId) -> Option<&BackEndId> {
         let entry = self.entries.get(id.name())?;
         (entry.back_end.id != *id).then_some(&entry.back_end.id)
@@ -81,10 +82,10 @@
         self.entries.values().filter(move |entry| entry.back_end.service == *service)
     }
 
-    /// Replaces the directory by a listing, unless the listing is older. Entries that are missing have vanished, unless it is the
-    /// first one of another era.
+    /// Replaces the directory by a listing, unless the listing is older. Missing entries count as removed, unless it is
+    /// the first listing of a new era.
     ///
-    /// Returns whether the listing was taken.
+    /// Returns whether the listing was applied.
     pub fn adopt(&mut self, listing: DirectoryListing, now: Timestamp) -> bool {
         if listing.position < self.position {
             return false;
@@ -97,21 +98,22 @@
         true
     }
 
-    /// Replaces the directory by a listing of a store that went back to an older copy without telling an era.
+    /// Replaces the directory by a listing of a store that was restored from an older snapshot without reporting an
+    /// era.
     pub fn adopt_restored(&mut self, listing: DirectoryListing, now: Timestamp) {
         self.was_restored = true;
         self.record_restore(now);
         self.replace(listing, now);
     }
 
-    /// Whether what stands at `position` is of a copy that is older than this directory. The first era that is told may be the one that the
-    /// directory is of.
+    /// Whether `position` belongs to a snapshot that is older than this directory. The first era that is reported may
+    /// be the one that the directory already belongs to.
     pub fn is_behind(&self, position: Position) -> bool {
         let is_later = position.era > self.position.era && self.position.era.is_reported();
         self.known && (is_later || position.revision < self.position.revision)
     }
 
-    /// Takes in that the next listing comes from an older copy.
+    /// Prepares for a listing that comes from an older snapshot.
     fn record_restore(&mut self, now: Timestamp) {
         self.previous_era.begin(now);
         for entry in self.entries.values_mut() {
@@ -150,10 +152,10 @@
         self.forget_unusable(now);
     }
 
-    /// Applies changes, unless the directory is past their position already. Changes that it has are applied again, which
-    /// does no harm: the last change of each back end decides.
+    /// Applies changes, unless the directory is already past their position. Applying a change twice is harmless: the
+    /// last change of each back end takes effect.
     ///
-    /// Returns whether the directory stands at their position now.
+    /// Returns whether the directory is at their position now.
     pub fn apply(&mut self, mut update: DirectoryChanges, now: Timestamp) -> bool {
         if update.position < self.position || update.position.era != self.position.era {
             return false;
@@ -163,8 +165,9 @@
                 self.preserve_draining(back_end);
             }
         }
-        // Back ends write their entries again and again; what says nothing new goes no further. But a replica that another reader has
-        // told of the first of two changes lacks the second one, also where both together say nothing new here.
+        // Back ends rewrite their entries periodically, so redundant changes are not passed on. But a replica that got
+        // only the first of two changes from another reader lacks the second one, even where both together change
+        // nothing here.
         let counts = Self::counts(&update.changes);
         let last = Self::last_changes(&update.changes);
         let mut number = 0;
@@ -193,8 +196,8 @@
         true
     }
 
-    /// What leads a replica that stands at `position` to this one, without a change when it stands there already; `None`
-    /// when it is ahead. A replica that tells no era is told none.
+    /// The update that brings a replica at `position` to this one's state, without changes if it is up to date; `None`
+    /// if it is ahead. A replica that reports no era gets an update without one.
     pub fn update_since(&self, position: Position) -> Option<DirectoryUpdate> {
         if !self.known {
             return None;
@@ -204,7 +207,7 @@
         }
         let same_era = Position::new(self.position.era, position.revision);
         let update = if self.was_restored && same_era < self.position {
-            // Its revision may be one of the former era, from which changes of this one don't lead on.
+            // Its revision may belong to the previous era, to which changes of this era don't apply.
             Some(DirectoryUpdate::Listing(self.listing()))
         } else {
             self.update_after(same_era)
@@ -226,14 +229,14 @@
         })
     }
 
-    /// The directory as a listing, for another node. What vanished is left out.
+    /// The directory as a listing, for another node. Removed entries are left out.
     pub fn listing(&self) -> DirectoryListing {
         let present = self.entries.values().filter(|entry| entry.listed);
         let back_ends = present.map(|entry| entry.back_end.clone()).collect();
         DirectoryListing { position: self.position, back_ends, malformed: self.malformed.iter().cloned().collect() }
     }
 
-    /// Which of `changes` are the last ones of their back ends: those before them decide nothing.
+    /// Which of `changes` are the last ones of their back ends: earlier ones have no effect.
     fn last_changes(changes: &[DirectoryChange]) -> Vec<bool> {
         let mut seen = BTreeSet::new();
         let mut last: Vec<bool> = changes.iter().rev().map(|change| seen.insert(change.name())).collect();
@@ -241,7 +244,7 @@
         last
     }
 
-    /// How many of `changes` concern the same back end as each of them.
+    /// For each change, the number of `changes` of the same back end.
     fn counts(changes: &[DirectoryChange]) -> Vec<usize> {
         let mut by_name: BTreeMap<&BackEndName, usize> = BTreeMap::new();
         changes.iter().for_each(|change| *by_name.entry(change.name()).or_default() += 1);
@@ -252,7 +255,7 @@
         let entry = self.entries.get(change.name());
         let listed = entry.filter(|entry| entry.listed);
         match change {
-            // Of one that left before the store went back, others may know less than this node.
+            // Other nodes may not know of a drain that was announced before the store was restored.
             DirectoryChange::Put(back_end) => {
                 listed.is_none_or(|entry| entry.drained_before_restore || entry.back_end != *back_end)
             }
@@ -269,7 +272,7 @@
         if let Some(previous) = self.other_incarnation(&back_end.id).cloned() {
             self.previous_era.record_departed(&previous, now);
         }
-        // What a former life did, also that it left, is none of this one's.
+        // The state of a previous incarnation, including that it drained, doesn't carry over to this one.
         let before = self.get(&back_end.id);
         let retired_before = before.and_then(|entry| entry.retired_at).map(|retired_at| retired_at.min(now));
         let drained_before_restore = before.is_some_and(|entry| entry.drained_before_restore);
@@ -278,14 +281,15 @@
         self.entries.insert(name, DirectoryEntry { quarantined_until, drained_before_restore, ..read });
     }
 
-    /// A life that said that it leaves before the store went back leaves, though the copy may not know of it.
+    /// Keeps an incarnation draining that announced its drain before the store was restored: the snapshot may not
+    /// contain it.
     fn preserve_draining(&self, back_end: &mut BackEnd) {
         if self.get(&back_end.id).is_some_and(|entry| entry.drained_before_restore) {
             back_end.state = BackEndState::Draining;
         }
     }
 
-    /// Takes the entry for none, at once: nothing says that the back end is still there for a moment.
+    /// Removes the entry at once, without a last-resort period: nothing shows that the back end still exists.
     fn mark_malformed(&mut self, name: &BackEndName) {
         self.entries.remove(name);
         if self.malformed.len() < MALFORMED_MAXIMUM {
--- a/crates/core/src/back_ends/directory_update.rs
+++ b/crates/core/src/back_ends/directory_update.rs
@@ -1,4 +1,4 @@
-//! What is told of the directory, by the store and between nodes.
+//! Updates of the directory, from the store and between nodes.
 
 use speedy::{Readable, Writable};
 
@@ -6,14 +6,14 @@
 use crate::store::{Position, StoreEra};
 use crate::world::BackEndName;
 
-/// The whole directory at one position of the store.
+/// The full directory at one store position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct DirectoryListing {
-    /// The store's position at which the listing was taken.
+    /// The store position of the listing.
     pub position: Position,
-    /// All back ends of that position.
+    /// All back ends at that position.
     pub back_ends: Vec<BackEnd>,
-    /// Entries that can't be understood.
+    /// Entries that can't be parsed.
     pub malformed: Vec<BackEndName>,
 }
 
@@ -22,14 +22,14 @@
 pub enum DirectoryChange {
     /// The back end is new or has changed.
     Put(BackEnd),
-    /// The back end's entry is gone.
+    /// The back end's entry was removed.
     Gone(BackEndName),
-    /// The entry can't be understood: another writer has left it. It names no back end, whatever it named before.
+    /// The entry can't be parsed: a foreign writer has overwritten it. It no longer describes a back end.
     Malformed(BackEndName),
 }
 
 impl DirectoryChange {
-    /// The back end that it concerns.
+    /// The name of the back end that changed.
     pub fn name(&self) -> &BackEndName {
         match self {
             DirectoryChange::Put(back_end) => back_end.id.name(),
@@ -41,23 +41,23 @@
 /// Changes of the directory after a position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct DirectoryChanges {
-    /// The position that the changes lead to.
+    /// The position after the changes.
     pub position: Position,
-    /// The changes in their order; none when nothing has changed up to that position.
+    /// The changes in order; empty if nothing has changed up to that position.
     pub changes: Vec<DirectoryChange>,
 }
 
-/// What leads a replica of the directory to a newer position.
+/// An update that brings a replica of the directory to a newer position.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum DirectoryUpdate {
-    /// The changes since the position that was asked from.
+    /// The changes since the requested position.
     Changes(DirectoryChanges),
-    /// The whole directory: the changes are no longer known.
+    /// The full directory: the changes are no longer known.
     Listing(DirectoryListing),
 }
 
 impl DirectoryUpdate {
-    /// The position that the news lead to.
+    /// The position after the update.
     pub fn position(&self) -> Position {
         match self {
             DirectoryUpdate::Changes(changes) => changes.position,
@@ -65,13 +65,13 @@
         }
     }
 
-    /// The same news as nodes tell it that know no era.
+    /// The same update without an era, for nodes that don't know eras.
     pub fn without_era(self) -> Self {
         let position = self.position().without_era();
         self.at(position)
     }
 
-    /// The news of a node that knows no era, as those of `era`.
+    /// The update of a node that doesn't know eras, placed in `era`.
     pub fn with_era(self, era: StoreEra) -> Self {
         let position = Position::new(era, self.position().revision);
         self.at(position)
--- a/crates/core/src/back_ends/health.rs
+++ b/crates/core/src/back_ends/health.rs
@@ -1,4 +1,4 @@
-//! Ejection of back ends that fail, and letting them back in one request at a time.
+//! Ejection of failing back ends, and their readmission by single probe requests.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 /// When a failing back end is ejected, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthLimits {
-    /// Failures among the last [`HealthLimits::REMEMBERED`] answers that eject a back end. Some requests fail at every
-    /// back end (an application's own errors), so a single failure proves nothing.
+    /// The number of failures among the last [`HealthLimits::WINDOW`] answers that ejects a back end. Some requests
+    /// fail at every back end (an application's own errors), so a single failure proves nothing.
     pub failures: u32,
     /// How long a back end is ejected the first time; it doubles with each failed probe.
     pub back_off_minimum: Duration,
@@ -17,7 +17,7 @@
 }
 
 impl HealthLimits {
-    /// The answers that are remembered.
+    /// The number of recent answers that are considered.
     pub const WINDOW: u32 = 16;
 }
 
@@ -38,25 +38,25 @@
     Probed { since: Timestamp, back_off: Duration },
 }
 
-/// The health of one life of a back end, as its answers to this node show it.
+/// The health of one incarnation of a back end, as observed in its answers to this node.
 #[derive(Clone, Debug)]
 pub struct BackEndHealth {
     limits: HealthLimits,
     state: State,
-    /// One bit for each of the last answers, set when it was a failure; the newest is the lowest.
+    /// One bit for each of the last answers, set for a failure; the newest answer is the lowest bit.
     recent_failures: u32,
 }
 
-/// A probe that has not come back after this time no longer keeps others from probing.
+/// After this time without an answer, a probe no longer blocks the next one.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl BackEndHealth {
-    /// A back end that nothing bad is known of.
+    /// A back end without recorded failures.
     pub fn new(limits: HealthLimits) -> Self {
         BackEndHealth { limits, state: State::Admitted, recent_failures: 0 }
     }
 
-    /// Whether the back end may be given a request now. An ejected one gets a single request as a probe.
+    /// Whether the back end may get a request now. An ejected one gets a single request as a probe.
     pub fn admits(&self, now: Timestamp) -> bool {
         match self.state {
             State::Admitted => true,
@@ -65,19 +65,19 @@
         }
     }
 
-    /// Whether the back end is ejected or on probation.
+    /// Whether the back end is ejected or being probed.
     pub fn is_ejected(&self) -> bool {
         self.state != State::Admitted
     }
 
-    /// Notes that a request is sent; at an ejected back end it is the probe.
+    /// Records that a request is sent; for an ejected back end it is the probe.
     pub fn record_send(&mut self, now: Timestamp) {
         if let State::Ejected { back_off, .. } | State::Probed { back_off, .. } = self.state {
             self.state = State::Probed { since: now, back_off };
         }
     }
 
-    /// Notes a proper answer.
+    /// Records a successful answer.
     pub fn record_success(&mut self) {
         self.record_outcome(false);
         if self.is_ejected() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Notes an answer that reports a failure; returns whether it ejects the back end.
+    /// Records an answer that reports a failure; returns whether it ejects the back end.
     pub fn record_failure(&mut self, now: Timestamp) -> bool {
         self.record_outcome(true);
         let too_many = self.recent_failures.count_ones() >= self.limits.failures;
@@ -95,7 +95,8 @@
         false
     }
 
-    /// Notes that the back end can't be reached, or is another one by now: no request need find that out again soon.
+    /// Records that the back end can't be reached or was replaced, and ejects it, so that no further request has to
+    /// fail soon; returns whether it was newly ejected.
     pub fn record_unreachable(&mut self, now: Timestamp) -> bool {
         self.record_outcome(true);
         self.eject(now)
@@ -104,7 +105,7 @@
     fn eject(&mut self, now: Timestamp) -> bool {
         let back_off = match self.state {
             State::Admitted => self.limits.back_off_minimum,
-            // Requests that were under way when the back end was ejected say nothing new.
+            // Results of requests that were in flight at the ejection don't extend it.
             State::Ejected { until, .. } if now < until => return false,
             State::Ejected { back_off, .. } | State::Probed { back_off, .. } => {
                 (2 * back_off).min(self.limits.back_off_maximum)
--- a/crates/core/src/back_ends/history.rs
+++ b/crates/core/src/back_ends/history.rs
@@ -1,25 +1,25 @@
-//! The last changes of the directory, for replicas that are a little behind.
+//! The last changes of the directory, for replicas that are slightly behind.
 
 use std::collections::VecDeque;
 
 use super::directory_update::{DirectoryChange, DirectoryChanges};
 use crate::store::Position;
 
-/// Changes that are remembered. A replica that lacks more gets the whole directory.
+/// The number of changes that are kept. A replica that lacks more gets the full directory.
 const CHANGES_MAXIMUM: usize = 512;
 
 #[derive(Clone, Debug)]
 struct Batch {
-    /// The position that the directory stood at before.
+    /// The directory's position before the changes.
     from: Position,
-    /// The position that it led to.
+    /// The directory's position after the changes.
     to: Position,
     changes: Vec<DirectoryChange>,
 }
 
 /// The last changes of a directory, oldest first.
 ///
-/// Invariant: the batches follow each other without a gap that holds a change.
+/// Invariant: the batches are consecutive; no change lies between two of them.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeHistory {
     batches: VecDeque<Batch>,
@@ -27,14 +27,14 @@
 }
 
 impl ChangeHistory {
-    /// Forgets all: what led to `position` is not known change by change.
+    /// Clears the history: the individual changes up to `position` are not known.
     pub fn restart(&mut self, position: Position) {
         self.batches.clear();
         self.batches.push_back(Batch { from: position, to: position, changes: Vec::new() });
         self.count = 0;
     }
 
-    /// Remembers changes that led on from the position `from`.
+    /// Records changes that apply to the position `from`.
     pub fn record(&mut self, from: Position, update: &DirectoryChanges) {
         self.count += update.changes.len();
         self.batches.push_back(Batch { from, to: update.position, changes: update.changes.clone() });
@@ -44,7 +44,7 @@
         }
     }
 
-    /// All changes after `position`, and perhaps a few before it; `None` when they are not all remembered.
+    /// All changes after `position`, and possibly a few before it; `None` if some of them are no longer kept.
     pub fn since(&self, position: Position) -> Option<Vec<DirectoryChange>> {
         let first = self.batches.iter().position(|batch| batch.to > position)?;
         let is_covered = first > 0 || self.batches[first].from <= position;
--- a/crates/core/src/back_ends/limits.rs
+++ b/crates/core/src/back_ends/limits.rs
@@ -1,8 +1,9 @@
-//! What back ends in need take from all nodes together, and which part of it is this node's.
+//! Rate limits that overloaded back ends announce for all nodes together, and this node's share of them.
 //!
-//! Nothing is agreed on. All nodes rank each other alike for a back end; the first few share its limit evenly, the others send it nothing. The sum
-//! then holds without a message between them: in any span of time the sharers together send the limit's part for that span and one request each, and
-//! there are at most [`SHARERS_BESIDE_RATE`] sharers more than the limit allows requests a second.
+//! Nodes don't coordinate. All nodes rank each other in the same way for a back end; the first few share its limit
+//! evenly, the others send it nothing. The sum then holds without messages between them: in any span of time the
+//! sharers together send what the limit allows for that span plus one request each, and there are at most
+//! [`SHARERS_ABOVE_RATE`] sharers more than the limit allows requests per second.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,67 +15,69 @@
 use crate::time::Timestamp;
 use crate::world::{Address, BackEndId};
 
-/// The nodes that share a limit, beside one for each request a second that it allows. A few more than one: callers come to all nodes, and a node
-/// without a part refuses its callers where all back ends of a service are in need.
+/// The number of nodes that share a limit, in addition to one per allowed request per second. It is more than one
+/// because callers connect to all nodes, and a node without a share refuses its callers when all back ends of a service
+/// are overloaded.
 const SHARERS_ABOVE_RATE: usize = 3;
 
-/// A request must be sent so long after a back end named a limit for its answer to show that there is none any more: answers overtake each other.
+/// An answer without a limit lifts the limit only if its request was sent at least this long after the limit was
+/// announced, because answers may arrive out of order.
 pub const LIFT_DELAY: Duration = Duration::from_secs(1);
 
-/// A limit that nobody has heard named for this time is forgotten, and the back end is asked again. News of it reach each of 330 nodes several times in this
-/// time.
+/// A limit that is not announced again within this time expires, and the back end gets requests again. Announcements
+/// reach each of 330 nodes several times within this time.
 pub const LIMIT_EXPIRY: Duration = Duration::from_secs(60);
 
-/// Back ends whose limits are remembered: twice those that a system is designed for.
+/// The largest number of back ends whose limits are kept: twice the number that a system is designed for.
 const LIMITS_MAXIMUM: usize = 8_192;
 
-/// What one node tells others of limits. A node that doesn't know this kind of message drops it.
+/// Limits that one node announces to others. A node that doesn't know this kind of message drops it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct LimitNotice {
-    /// Where the sender takes notices; names it.
+    /// The address on which the sender receives notices; it identifies the sender.
     pub sender: Address,
     /// The limits.
     pub limits: Vec<AnnouncedLimit>,
 }
 
 impl LimitNotice {
-    /// The limits in one notice: with names of a hundred bytes it still fits a datagram.
+    /// The largest number of limits in one notice: with names of a hundred bytes it still fits a datagram.
     pub const LIMITS_MAXIMUM: usize = 8;
 }
 
-/// What a back end said that it takes.
+/// A limit that a back end announced.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct AnnouncedLimit {
     /// The back end.
     pub back_end: BackEndId,
-    /// What it takes from all nodes together; `None`: it named no limit any more.
+    /// The rate that it accepts from all nodes together; `None` if it announces no limit any more.
     pub limit: Option<RequestRate>,
-    /// How long ago it said so, in milliseconds.
+    /// The age of its announcement, in milliseconds.
     pub age_millis: u32,
 }
 
-/// A limit that was not known.
+/// A limit that was not known before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitChange {
     /// The limit.
     pub limit: RequestRate,
-    /// Whether none was known before.
+    /// Whether no limit of the back end was known before.
     pub is_new: bool,
 }
 
-/// The nodes that share what back ends take.
+/// The nodes that share the limits of back ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharingNodes {
     /// This node; `None` before it has an address.
     pub own: Option<Address>,
-    /// The other nodes that are known.
+    /// The other known nodes.
     pub peers: Vec<Address>,
-    /// The nodes that there may be, at least.
+    /// The possible number of nodes; at least this many are assumed.
     pub count: u32,
 }
 
 impl SharingNodes {
-    /// This node's part of `limit`; `None` where others share it.
+    /// This node's share of `limit`; `None` if only other nodes share it.
     fn share_of(&self, limit: RequestRate, back_end: &BackEndId) -> Option<RequestRate> {
         let known = self.peers.len() + 1;
         let possible = usize::try_from(self.count).unwrap_or(usize::MAX).max(known);
@@ -91,19 +94,19 @@
     }
 }
 
-/// What a back end said last.
+/// The last announcement of a back end.
 #[derive(Clone, Copy, Debug)]
 struct LimitState {
-    /// What it takes; `None`: it named no limit any more. That is kept against older news of one.
+    /// The announced rate; `None` if the limit was lifted, which is kept to reject older announcements of a limit.
     limit: Option<RequestRate>,
     announced_at: Timestamp,
-    /// This node's part; `None` where others share the limit.
+    /// This node's share; `None` if only other nodes share the limit.
     share: Option<RequestRate>,
-    /// When this node last sent it a request, or first heard of the limit.
+    /// When this node last sent it a request, or learned of the limit.
     sent_at: Timestamp,
 }
 
-/// What back ends in need take, by their lives.
+/// The limits of overloaded back ends, by incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct BackEndLimits {
     nodes: SharingNodes,
@@ -111,7 +114,7 @@
 }
 
 impl BackEndLimits {
-    /// Shares the limits among these nodes from now on.
+    /// Sets the nodes that share the limits.
     pub fn set_nodes(&mut self, nodes: SharingNodes) {
         if self.nodes == nodes {
             return;
@@ -122,19 +125,21 @@
         }
     }
 
-    /// Takes in a limit that a back end named in an answer that came at `now`; `None` where it is the one that was known.
+    /// Records a limit that a back end announced in an answer that arrived at `now`; `None` if that limit was known
+    /// already.
     pub fn record_limit(&mut self, id: &BackEndId, limit: RequestRate, now: Timestamp) -> Option<LimitChange> {
         let is_new = self.limits.get(id).is_none_or(|known| known.limit.is_none());
         self.update(id, Some(limit), now, now).then_some(LimitChange { limit, is_new })
     }
 
-    /// Takes in that an answer to a request that was sent at `sent_at` named no limit; returns whether the back end had one until then.
+    /// Records that an answer to a request sent at `sent_at` announced no limit; returns whether this lifts a limit.
     pub fn record_no_limit(&mut self, id: &BackEndId, sent_at: Timestamp) -> bool {
         let shows_lift = |state: &LimitState| state.limit.is_some() && sent_at >= state.announced_at + LIFT_DELAY;
         self.limits.get(id).is_some_and(shows_lift) && self.update(id, None, sent_at, sent_at)
     }
 
-    /// Takes in what a peer tells; returns what was not known. Of several words of a back end the one that it said last counts, whichever way it came.
+    /// Applies a peer's notice; returns the limits that were not known. The latest announcement of a back end takes
+    /// effect, however it arrived.
     pub fn receive(&mut self, notice: LimitNotice, now: Timestamp) -> Vec<AnnouncedLimit> {
         let mut announced = notice.limits;
         announced.truncate(LimitNotice::LIMITS_MAXIMUM);
@@ -148,7 +153,8 @@
         announced
     }
 
-    /// Notes what a back end said at `said_at`; returns whether it is another limit, or end of one, than was known.
+    /// Records what a back end announced at `announced_at`; returns whether the limit differs from the known one or was
+    /// lifted.
     fn update(&mut self, id: &BackEndId, limit: Option<RequestRate>, announced_at: Timestamp, now: Timestamp) -> bool {
         if let Some(known) = self.limits.get_mut(id)
             && known.limit == limit
@@ -157,7 +163,7 @@
             return false;
         }
         let before = self.limits.get(id).filter(|known| known.limit.is_some());
-        // A node that was free to send may have done so a moment ago.
+        // A node without a limit may have sent a request a moment ago.
         let sent_at = before.map_or(now, |known| known.sent_at);
         let share = limit.and_then(|limit| self.nodes.share_of(limit, id));
         if self.limits.len() < LIMITS_MAXIMUM || self.limits.contains_key(id) {
@@ -166,9 +172,10 @@
         true
     }
 
-    /// How long this node still may send the back end nothing, where that is bound by its limit; `None` when it may.
+    /// How long this node must still wait before its next request to the back end, because of the limit; `None` if it
+    /// may send now.
     ///
-    /// Where others share the limit, it is the time in which one of them may send a request.
+    /// If only other nodes share the limit, it is the interval at which one of them may send a request.
     pub fn wait_left(&self, id: &BackEndId, now: Timestamp) -> Option<Duration> {
         let state = self.limits.get(id)?;
         let limit = state.limit?;
@@ -179,14 +186,14 @@
         (next_at > now).then(|| next_at.since(now))
     }
 
-    /// Notes that this node sends the back end a request.
+    /// Records that this node sends the back end a request.
     pub fn record_sent(&mut self, id: &BackEndId, now: Timestamp) {
         if let Some(state) = self.limits.get_mut(id) {
             state.sent_at = now;
         }
     }
 
-    /// What peers are told of these back ends.
+    /// The limits of these back ends, as announced to peers.
     pub fn announcements<'i>(
         &self,
         ids: impl IntoIterator<Item = &'i BackEndId>,
@@ -200,13 +207,13 @@
         ids.into_iter().filter_map(announced).collect()
     }
 
-    /// Some of the back ends that have said something of limits lately, chosen anew each time, as many as fit one notice.
+    /// A random sample of the known limits, as many as fit one notice.
     pub fn sample(&self, random: &mut fastrand::Rng, now: Timestamp) -> Vec<AnnouncedLimit> {
         let chosen = random.choose_multiple(self.limits.keys(), LimitNotice::LIMITS_MAXIMUM);
         self.announcements(chosen, now)
     }
 
-    /// Forgets limits that nobody has heard named for long.
+    /// Removes expired limits.
     pub fn tidy(&mut self, now: Timestamp) {
         self.limits.retain(|_, state| now.since(state.announced_at) < LIMIT_EXPIRY);
     }
--- a/crates/core/src/back_ends/mod.rs
+++ b/crates/core/src/back_ends/mod.rs
@@ -1,4 +1,4 @@
-//! The back ends that requests may be sent to: which there are, in which state, and how they have answered lately.
+//! The back ends that requests may be sent to: their directory, state and recent health.
 
 mod back_end;
 mod directory;
--- a/crates/core/src/back_ends/previous_era.rs
+++ b/crates/core/src/back_ends/previous_era.rs
@@ -1,7 +1,7 @@
-//! What a directory remembers for the case that the store goes back to an older copy.
+//! State that a directory keeps in case the store is restored from an older snapshot.
 //!
-//! In the copy an entry may be missing that was written since, one may be there again that was gone, and one may say ready that said it
-//! leaves. The back ends that live write their entries again; those that are gone don't, and their entries lapse.
+//! In the snapshot, entries that were written later are missing, removed entries are present again, and draining back
+//! ends may be listed as ready. Live back ends write their entries again; the entries of removed ones expire.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,17 +9,20 @@
 use crate::time::Timestamp;
 use crate::world::{BackEndId, BackEndName};
 
-/// How long an entry that the copy lacks counts as it was. After it the back end is a last resort for a while. Those that live are written
-/// again within about two seconds; one that is gone must be sent nothing by then.
+/// How long an entry that is missing from the snapshot stays valid. After that the back end is a last resort for a
+/// while. Live back ends write their entries again within about two seconds; a removed one must get no requests by
+/// then.
 pub const REWRITE_GRACE: Duration = Duration::from_millis(700);
 
-/// How long an entry that was gone and is there again gets nothing: it lapses until then if nobody keeps it, after three heartbeats.
+/// How long a removed entry that the snapshot lists again gets no requests: without heartbeats it expires within that
+/// time, after three heartbeat intervals.
 pub const QUARANTINE: Duration = Duration::from_secs(5);
 
-/// How long a life that is gone is remembered; copies are some seconds old.
+/// How long a departed incarnation is remembered; snapshots are a few seconds old.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Lives that are remembered: a fleet may be replaced as a whole in that time.
+/// The largest number of departed incarnations that is remembered: a full fleet may be replaced within the retention
+/// time.
 const DEPARTED_MAXIMUM: usize = 10_000;
 
 #[derive(Clone, Debug)]
@@ -28,7 +31,7 @@
     at: Timestamp,
 }
 
-/// Which lives were gone before the store went back, and when it did.
+/// The incarnations that had departed before the store was restored, and the time of the restore.
 #[derive(Clone, Debug, Default)]
 pub struct PreviousEra {
     departed: BTreeMap<BackEndName, Departed>,
@@ -36,7 +39,7 @@
 }
 
 impl PreviousEra {
-    /// Notes that a life is gone.
+    /// Records that an incarnation has departed.
     pub fn record_departed(&mut self, id: &BackEndId, at: Timestamp) {
         if self.departed.len() >= DEPARTED_MAXIMUM {
             self.departed.retain(|_, departed| at.since(departed.at) < DEPARTED_RETENTION);
@@ -46,23 +49,24 @@
         }
     }
 
-    /// Notes that a life is there, and not only by way of a copy.
+    /// Records that an incarnation is present, and not only in a snapshot.
     pub fn record_present(&mut self, id: &BackEndId) {
         self.departed.remove(id.name());
     }
 
-    /// Notes that the store has gone back.
+    /// Records that the store was restored from an older snapshot.
     pub fn begin(&mut self, now: Timestamp) {
         self.departed.retain(|_, departed| now.since(departed.at) < DEPARTED_RETENTION);
         self.restored_at = Some(now);
     }
 
-    /// The moment until which entries that the copy lacks count as they were, while that lies ahead.
+    /// The time until which entries missing from the snapshot stay valid, if it is in the future.
     pub fn held_until(&self, now: Timestamp) -> Option<Timestamp> {
         self.restored_at.map(|at| at + REWRITE_GRACE).filter(|until| now < *until)
     }
 
-    /// The moment until which nothing is sent to a life that was gone and is listed again, or to one before it, while that lies ahead.
+    /// The time until which a departed incarnation that is listed again, or an earlier one, gets no requests, if it is
+    /// in the future.
     pub fn quarantined_until(&self, id: &BackEndId, now: Timestamp) -> Option<Timestamp> {
         let until = self.restored_at.map(|at| at + QUARANTINE).filter(|until| now < *until)?;
         let is_departed = |departed: &Departed| departed.id == *id || departed.id.started() > id.started();
--- a/crates/core/src/store/mod.rs
+++ b/crates/core/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object store as the core sees it: reads, and writes by compare-and-set whose reply may be lost.
+//! The interface to the platform's object store: reads, and compare-and-set writes whose replies may be lost.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
@@ -19,26 +19,27 @@
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// Identifies one write. It is stored with the object, so that a write whose reply was lost is settled by reading back.
+/// Identifies one write. It is stored with the object, so that the outcome of a write whose reply was lost is found by
+/// reading the object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OperationId(pub u64);
 
-/// An object as it was read.
+/// An object as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredObject {
     /// The object's revision.
     pub revision: Revision,
-    /// The write that made this revision.
+    /// The write that created this revision.
     pub operation: OperationId,
     /// The content, JSON text.
     pub value: String,
 }
 
-/// What a node asks of the store.
+/// A request of a node to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Reads an object. The store may answer from the past.
+    /// Reads an object. The answer may be stale.
     Read {
         /// The object.
         key: ObjectKey,
@@ -56,14 +57,14 @@
     },
 }
 
-/// What the store answers.
+/// A reply of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    /// The object as it is, or as it was a while ago; `None` when it doesn't exist.
+    /// The object, possibly stale; `None` if it doesn't exist.
     Object(Option<StoredObject>),
-    /// The write took effect and made this revision.
+    /// The write took effect and created this revision.
     Written(Revision),
-    /// The write did not take effect: the object's revision is another.
+    /// The write did not take effect: the object has a different revision.
     Conflict(Option<StoredObject>),
     /// The store can't be reached or did not answer in time. A write may have taken effect.
     Unknown,
--- a/crates/core/src/store/position.rs
+++ b/crates/core/src/store/position.rs
@@ -1,4 +1,4 @@
-//! Where something stands in what the store has written: in which of its lives, and at which revision.
+//! Positions in the store's history: an era and a revision.
 
 use std::fmt;
 
@@ -6,29 +6,29 @@
 
 use super::Revision;
 
-/// A life of the store. It rises by one each time that the store comes back from an older copy, whose revisions are given out again from
-/// there on; 0 where the store tells none.
+/// The store's epoch number. It is raised by one each time the store is restored from an older snapshot, since
+/// revisions after that snapshot are then assigned again; 0 if the store reports no era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreEra(u32);
 
 impl StoreEra {
-    /// The bits that an era has beside a revision in a message between nodes.
+    /// The bits of the era when packed with a revision in a message between nodes.
     const BITS: u32 = 19;
 
     /// The highest era.
     pub const MAXIMUM: StoreEra = StoreEra((1 << StoreEra::BITS) - 1);
 
-    /// The era of this number; `None` for one that is too large.
+    /// The era with this number; `None` if it is too large.
     pub fn new(number: u64) -> Option<Self> {
         u32::try_from(number).ok().map(StoreEra).filter(|era| *era <= StoreEra::MAXIMUM)
     }
 
-    /// Its number.
+    /// The era's number.
     pub fn number(self) -> u64 {
         u64::from(self.0)
     }
 
-    /// Whether the store tells its eras.
+    /// Whether the store reports its eras.
     pub fn is_reported(self) -> bool {
         self.0 > 0
     }
@@ -40,9 +40,10 @@
     }
 }
 
-/// A revision of the store in one of its eras. Of two, the one of the later era is the newer one, whatever the revisions.
+/// A revision of the store in one of its eras. A position of a later era is newer, whatever the revisions.
 ///
-/// Between nodes it is one number, the era above the revision, so that it reads as the bare revision where the store tells no eras.
+/// Between nodes it is encoded as one number with the era in the high bits, so that it equals the bare revision if the
+/// store reports no eras.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
     /// The era.
@@ -54,7 +55,7 @@
 impl Position {
     const REVISION_BITS: u32 = u64::BITS - StoreEra::BITS;
 
-    /// The highest revision that can be told between nodes; no store lives long enough for more.
+    /// The highest revision that can be encoded between nodes; no store runs long enough to exceed it.
     pub const REVISION_MAXIMUM: Revision = Revision((1 << Position::REVISION_BITS) - 1);
 
     /// The position of `revision` in `era`.
@@ -62,7 +63,7 @@
         Position { era, revision }
     }
 
-    /// The same revision without its era, for nodes that know none.
+    /// The same revision without its era, for nodes that don't know eras.
     pub fn without_era(self) -> Self {
         Position::from(self.revision)
     }
@@ -78,7 +79,7 @@
     }
 }
 
-/// One object as it was when it was read or written: in which era, and at which revision; none where it was not there.
+/// The version of an object when it was read or written: its era and its revision, or none if the object didn't exist.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ObjectVersion {
     /// The era.
--- a/crates/core/tests/back_end_limits.rs
+++ b/crates/core/tests/back_end_limits.rs
@@ -1,4 +1,4 @@
-//! What back ends in need take, shared by nodes that agree on nothing.
+//! Limits of overloaded back ends, shared by nodes without coordination.
 
 mod support {
     pub mod relay_fixture;
@@ -20,16 +20,18 @@
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
 
-/// The platform's bounds: the limit binds from this time after it was first named, over spans of this length, for nodes that have heard it so long ago.
+/// The platform's bounds: the limit is enforced this long after its first announcement, over spans of this length, for
+/// nodes that received it at least this long ago.
 const ENFORCED_AFTER: Duration = Duration::from_secs(3);
 const SPAN: Duration = Duration::from_secs(4);
 const RECEIVED_AGO: Duration = Duration::from_millis(500);
 
-/// What a back end may get in a span beyond what its limit allows, as a factor and as a number.
+/// The requests that a back end may get in a span beyond its limit, as a factor and as an absolute number.
 const EXCESS_FACTOR: f64 = 1.5;
 const EXCESS: f64 = 5.0;
 
-/// Of what it takes, a back end gets this much at least while callers ask for more than that at each node: its places serve callers too.
+/// The share of its limit that a back end gets at least while callers request more than that at each node, so that its
+/// capacity is not wasted.
 const UTILIZATION_MINIMUM: f64 = 0.6;
 
 fn after(duration: Duration) -> Timestamp {
@@ -44,31 +46,31 @@
     RequestRate::per_second(per_second).expect("a rate")
 }
 
-/// A node's view among so many; each of the others is unknown to it with this probability.
+/// The view of node `own` among `count` nodes; each other node is missing from it with probability `unknown`.
 fn nodes_known_to(own: usize, count: usize, unknown: f64, random: &mut fastrand::Rng) -> SharingNodes {
     let peers = (0..count).filter(|number| *number != own && random.f64() >= unknown).map(address).collect();
     SharingNodes { own: Some(address(own)), peers, count: 1 }
 }
 
-/// What happens in [`World`], in order of time.
+/// An event of the simulation in [`World`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A caller asks this node.
+    /// A caller sends this node a request.
     Call(usize),
-    /// A request of this node reaches the back end, sent at this moment.
+    /// A request that this node sent at this time reaches the back end.
     Arrive(usize, Timestamp),
-    /// The answer to a request that was sent at this moment reaches its node, with what it names.
+    /// The answer to a request sent at `sent_at` reaches its node, with the limit that it announces.
     Answer { node: usize, sent_at: Timestamp, thousandths: Option<u32> },
-    /// This node tells one peer of limits.
+    /// This node announces limits to one peer.
     Announce(usize),
     /// A notice of a limit reaches this node.
     Receive { node: usize, thousandths: Option<u32>, age_millis: u32 },
 }
 
-/// A back end that is in need for a while, and nodes whose callers would all send to it.
+/// A simulation of a back end that is overloaded for a while, and of nodes whose callers all use it.
 struct World {
     nodes: Vec<BackEndLimits>,
-    /// When an answer that named a limit first reached a node.
+    /// When an answer that announced a limit first reached each node.
     received_at: Vec<Option<Timestamp>>,
     id: BackEndId,
     limit: f64,
@@ -78,7 +80,7 @@
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     sequence: u64,
     random: fastrand::Rng,
-    /// The node and the moment of each request that reached the back end.
+    /// The time and the node of each request that reached the back end.
     arrivals: Vec<(Timestamp, usize)>,
 }
 
@@ -198,7 +200,8 @@
         }
     }
 
-    /// The requests of nodes that had heard the limit, in each span that ends with one of them while the limit binds.
+    /// For each request while the limit is enforced, the number of requests in the span that ends with it. Only
+    /// requests of nodes that had received the limit count.
     fn spans(&self) -> impl Iterator<Item = usize> {
         let received = |(at, node): &&(Timestamp, usize)| {
             self.received_at[*node].is_some_and(|received_at| at.since(received_at) >= RECEIVED_AGO)
@@ -214,8 +217,8 @@
     }
 }
 
-/// Nodes of any number, one engine in need, and callers that would send it ten times what it takes. Each node knows most of the others, and one
-/// notice in twenty is lost.
+/// Runs various numbers of nodes with one overloaded engine and callers that request ten times its limit. Each node
+/// knows most of the others, and one notice in twenty is lost.
 #[test]
 fn nodes_share_a_limit_without_exceeding_or_wasting_it() {
     for (count, limit) in
@@ -227,11 +230,14 @@
             world.run_until(world.overload.end);
             let allowed = (EXCESS_FACTOR * limit * SPAN.as_secs_f64() + EXCESS) as usize;
             let most = world.spans().max().unwrap_or(0);
-            assert!(most <= allowed, "{count} nodes, limit {limit}, seed {seed}: {most} in a span, {allowed} allowed");
+            assert!(
+                most <= allowed,
+                "{count} nodes, limit {limit}, seed {seed}: {most} requests in a span, {allowed} allowed"
+            );
             let from = world.overload.start + ENFORCED_AFTER;
             let got = world.arrived_between(from, world.overload.end) as f64;
             let capacity = limit * world.overload.end.since(from).as_secs_f64();
-            // Of many nodes few share the limit, and each of them is asked seldom.
+            // With many nodes, few of them share the limit, and each gets few requests.
             if count <= 9 && limit >= 0.5 {
                 assert!(
                     got >= UTILIZATION_MINIMUM * capacity,
@@ -242,7 +248,7 @@
     }
 }
 
-/// The limit ends: all nodes send again, also those that had no part in it.
+/// After the limit is lifted, all nodes send again, including those that had no share of it.
 #[test]
 fn a_limit_is_lifted_at_all_nodes_when_the_back_end_stops_announcing_it() {
     for (count, limit) in [(1, 2.6), (7, 3.1), (63, 3.0), (330, 3.3)] {
@@ -259,7 +265,7 @@
     }
 }
 
-/// With no word from anyone a limit is forgotten, and one node asks again.
+/// Without further announcements a limit expires, so that a node sends to the back end again.
 #[test]
 fn a_limit_that_is_not_announced_again_expires() {
     let id = BackEndId::from("in-need");
@@ -272,7 +278,7 @@
     assert_eq!(limits.wait_left(&id, after(LIMIT_EXPIRY)), None);
 }
 
-/// Answers overtake each other: one to a request that was sent before the word shows nothing.
+/// Answers arrive out of order: an answer to a request sent before the announcement doesn't lift the limit.
 #[test]
 fn only_an_answer_to_a_later_request_lifts_a_limit() {
     let id = BackEndId::from("in-need");
@@ -284,17 +290,17 @@
     assert!(!limits.record_no_limit(&id, after(LIFT_DELAY) - Duration::from_millis(1)));
     assert!(limits.record_no_limit(&id, after(LIFT_DELAY)));
     assert_eq!(limits.wait_left(&id, after(LIFT_DELAY)), None);
-    assert!(!limits.record_no_limit(&id, after(LIFT_DELAY)), "it has none");
+    assert!(!limits.record_no_limit(&id, after(LIFT_DELAY)), "the limit is lifted already");
 }
 
-/// A word of the back end, said at a moment and heard later.
+/// A statement of the back end, made at one time and received later.
 #[derive(Clone, Copy, Debug)]
 struct Statement {
     announced_at: Timestamp,
     limit: Option<RequestRate>,
 }
 
-/// Words of one back end reach two nodes in any order, some of them twice: both believe what it said last.
+/// Statements of one back end reach two nodes in any order, one of them twice: both nodes keep the latest one.
 fn latest_statement_wins(unstructured: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     let id = BackEndId::from("in-need");
     let count = unstructured.int_in_range(1..=8)?;
@@ -340,11 +346,11 @@
     let sampled = limits.sample(&mut fastrand::Rng::with_seed(1), after(Duration::from_secs(1)));
     assert_eq!(sampled.len(), LimitNotice::LIMITS_MAXIMUM);
     let notice = PeerNotice::Limits(LimitNotice { sender: address(1), limits: sampled });
-    let bytes = notice.write_to_vec().expect("it can be written");
+    let bytes = notice.write_to_vec().expect("it can be encoded");
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
 }
 
-/// What a peer tells that went wrong on its way, or is old, changes nothing.
+/// A corrupted or expired notice of a peer changes nothing.
 #[test]
 fn expired_or_excess_limits_in_a_notice_are_ignored() {
     let mut limits = BackEndLimits::default();
--- a/crates/core/tests/back_end_lives.rs
+++ b/crates/core/tests/back_end_lives.rs
@@ -1,5 +1,5 @@
-//! A back end that starts again under its name: nothing that was known of its former life holds for the new one, in
-//! whichever order the news come.
+//! A back end that restarts under the same name: nothing known about the previous incarnation applies to the new one,
+//! in whichever order updates arrive.
 
 mod support {
     pub mod relay_fixture;
@@ -32,7 +32,7 @@
     BackEndId::of_life(BackEndName::new("engine-1"), started.map(StartMoment))
 }
 
-/// The engine in the life that began at `started`.
+/// The engine's incarnation that started at `started`.
 fn incarnation(started: u64) -> BackEnd {
     BackEnd { id: id(Some(started)), ..back_end(1, Some(EngineStage::Prefill)) }
 }
@@ -81,7 +81,7 @@
     directory.apply(put(11, incarnation(200)), later);
     assert_eq!(usability(&directory, later), Some(Usability::Usable));
     directory.apply(put(12, draining(300)), later);
-    assert_eq!(usability(&directory, later), Some(Usability::LastResort), "its own leaving counts from now");
+    assert_eq!(usability(&directory, later), Some(Usability::LastResort), "its own drain starts now");
 }
 
 #[test]
@@ -91,7 +91,7 @@
     assert!(!directory.apply(put(15, incarnation(100)), START));
     assert!(!directory.adopt(listing(15, vec![incarnation(100)]), START));
     assert!(directory.get(&incarnation(200).id).is_some());
-    // What leads on from an old revision may hold old changes; the last one of each back end decides.
+    // An update since an old revision may contain old changes; the last one of each back end takes effect.
     let both = vec![DirectoryChange::Put(incarnation(100)), DirectoryChange::Put(incarnation(200))];
     assert!(directory.apply(DirectoryChanges { position: Position::from(Revision(20)), changes: both }, START));
     assert!(directory.get(&incarnation(200).id).is_some());
@@ -125,7 +125,7 @@
     assert!(reader.apply(malformed(11), START));
     assert_eq!(reader.entries().count(), 0);
     let Some(DirectoryUpdate::Changes(changes)) = reader.update_since(Position::from(Revision(10))) else {
-        panic!("the changes are known");
+        panic!("the changes should be known");
     };
     assert!(follower.apply(changes, START));
     assert_eq!(follower.entries().count(), 0);
@@ -145,7 +145,7 @@
     assert_eq!(directory.entries().count(), 0);
     let changed_at = directory.changed_at();
     assert!(directory.adopt(DirectoryListing { position: Position::from(Revision(12)), ..with_malformed }, START));
-    assert_eq!(directory.changed_at(), changed_at, "the same again is no news");
+    assert_eq!(directory.changed_at(), changed_at, "a repeated listing is no change");
 }
 
 #[test]
@@ -213,7 +213,7 @@
     assert_eq!(
         changes.due(later + ChangesConfig::default().drain_time).len(),
         1,
-        "the late answer was the former life's"
+        "the late answer belonged to the previous incarnation"
     );
 }
 
@@ -226,10 +226,10 @@
     assert_eq!(lease.step(START), LeaseStep::Wait(LeaseConfig::default().takeover_delay()));
     let after = START + LeaseConfig::default().takeover_delay();
     let LeaseStep::Write(write) = lease.step(after) else {
-        panic!("the lease can be taken");
+        panic!("the lease should be taken");
     };
     assert_eq!((write.record.term, write.expected), (Term(731), ObjectVersion::default().at(Revision(730))));
-    // Spoiled anew, its time begins anew.
+    // When the record becomes malformed again, its time to expiry restarts.
     lease.observe(None, ObjectVersion::default().at(Revision(740)), after);
     assert_eq!(lease.step(after), LeaseStep::Wait(LeaseConfig::default().takeover_delay()));
 }
@@ -249,7 +249,7 @@
     reports.start_new_ledger(ObjectVersion::default().at(Revision(9)), config.first_unreported(at(12.0)));
     assert_eq!(reports.step(&config, &table, at(12.0)), UsageStep::Idle, "windows 0 to 2 may have been reported");
     let UsageStep::Write(write) = reports.step(&config, &table, at(40.0)) else {
-        panic!("later windows are due");
+        panic!("later windows should be due");
     };
     assert_eq!(write.expected, ObjectVersion::default().at(Revision(9)));
     assert_eq!(write.ledger.reports[0].window, WindowNumber(350_000_003));
--- a/crates/core/tests/back_end_notices.rs
+++ b/crates/core/tests/back_end_notices.rs
@@ -1,4 +1,4 @@
-//! What back ends say of themselves in their answers, against what the directory says.
+//! Statements of back ends in their answers, combined with the directory.
 
 mod support {
     pub mod relay_fixture;
@@ -54,7 +54,8 @@
     assert_eq!(usability(&notices, &directory, &ready.id, START), Some(Usability::LastResort));
     let drain_end = START + LAST_RESORT;
     assert_eq!(usability(&notices, &directory, &ready.id, drain_end), Some(Usability::Unusable));
-    // It says so again, its entry lapses with the store and comes back as it was: nothing of this begins a new moment.
+    // Neither a repeated announcement nor an entry that expires and is written again as ready starts a new last-resort
+    // period.
     assert_eq!(notices.record(&ready.id, DRAINING, drain_end), NoticeEffect::default());
     let name = ready.id.name().clone();
     for (revision, change) in [(2, DirectoryChange::Gone(name)), (3, DirectoryChange::Put(ready.clone()))] {
@@ -96,7 +97,7 @@
     assert_eq!(
         notices.record(&backing_off.id, backoff(500), after(1_000)).backoff,
         None,
-        "it ends before the first one"
+        "it ends before the first backoff"
     );
     for (millis, expected) in [(0, Usability::Unusable), (2_999, Usability::Unusable), (3_000, Usability::Usable)] {
         assert_eq!(
@@ -113,17 +114,13 @@
     let mut notices = BackEndNotices::default();
     let limit = RequestRate::per_second(1.0);
     notices.record(&id, BackEndNotice { limit, ..BackEndNotice::default() }, START);
-    assert_eq!(
-        notices.record_call_if_eligible(&id, START),
-        Some(Ineligibility::AtLimit),
-        "it has just been sent something"
-    );
+    assert_eq!(notices.record_call_if_eligible(&id, START), Some(Ineligibility::AtLimit), "a request was just sent");
     assert_eq!(notices.record_call_if_eligible(&id, after(1_000)), None);
     assert_eq!(notices.record_call_if_eligible(&id, after(1_500)), Some(Ineligibility::AtLimit));
     assert_eq!(
         notices.record_call(&id, after(1_999)),
         Some(Ineligibility::AtLimit),
-        "it is made all the same, and counts"
+        "the call is made anyway and counts"
     );
     assert_eq!(notices.ineligibility(&id, after(2_500)), Some(Ineligibility::AtLimit));
     assert_eq!(notices.ineligibility(&id, after(2_999)), None);
@@ -146,12 +143,12 @@
     let mut notices = BackEndNotices::default();
     notices.record(&back_ends[0].id, backoff(3_000), START);
     notices.record(&back_ends[1].id, backoff(2_000), START);
-    assert_eq!(wait_until_available(&notices), None, "the third takes requests");
+    assert_eq!(wait_until_available(&notices), None, "the third accepts requests");
     notices.record(&back_ends[2].id, DRAINING, START);
     assert_eq!(
         wait_until_available(&notices),
         Some(Duration::from_millis(2_000)),
-        "the third leaves, so waiting for it is no use"
+        "the third drains, so waiting for it is useless"
     );
     assert_eq!(notices.wait_until_available(std::iter::empty(), START), None);
 }
@@ -171,15 +168,15 @@
     );
 }
 
-/// What the back end said, as a list; the simplest thing that could be kept.
+/// All statements of the back end, as a reference model.
 #[derive(Default)]
 struct Statements {
     drained_at: Option<Timestamp>,
     backoffs: Vec<(Timestamp, Duration)>,
 }
 
-/// Notices and changes of the directory in any order: nothing is sent to a back end later than it allows, and it is used when its own word and
-/// the directory allow it.
+/// Applies notices and directory changes in any order: a back end gets no requests after it disallows them, and it is
+/// used when its own statements and the directory allow it.
 fn own_statements_take_precedence(unstructured: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     let subject = back_end(1, None);
     let mut directory = directory_of(std::slice::from_ref(&subject));
@@ -248,9 +245,9 @@
     assert_eq!(
         announced,
         [DrainingBackEnd { back_end: draining_back_end.id.clone(), age_millis: 400 }],
-        "the second one stays"
+        "the second one does not drain"
     );
-    // It was 100 ms on its way, and this node heard of it itself meanwhile.
+    // The notice took 100 ms, and the receiver learned of the drain from the back end itself in the meantime.
     receiver.record(&draining_back_end.id, DRAINING, after(450));
     assert_eq!(receiver.receive(&notice(announced.clone()), after(500)), []);
     let announced_at = START + Duration::from_millis(100);
@@ -273,6 +270,6 @@
     });
     let newest = notices.newest(after(20));
     assert_eq!((newest.len(), &newest[0].back_end), (DrainNotice::BACK_ENDS_MAXIMUM, &id(19)));
-    let bytes = PeerNotice::Leaving(notice(newest)).write_to_vec().expect("it can be written");
+    let bytes = PeerNotice::Leaving(notice(newest)).write_to_vec().expect("it can be encoded");
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
 }
--- a/crates/core/tests/back_ends.rs
+++ b/crates/core/tests/back_ends.rs
@@ -1,4 +1,4 @@
-//! The directory of back ends, and their health.
+//! The directory of back ends, and their health state.
 
 mod support {
     pub mod relay_fixture;
@@ -63,7 +63,7 @@
     let mut directory = directory_of(&[1, 2]);
     directory.apply(changes(11, vec![DirectoryChange::Gone(back_end(1, None).id.name().clone())]), START);
     assert_eq!(usability(&directory, 1, START), Some(Usability::LastResort));
-    assert_eq!(directory.listing().back_ends, vec![back_end(2, None)], "peers are not told of it");
+    assert_eq!(directory.listing().back_ends, vec![back_end(2, None)], "peers do not get it");
     directory.apply(changes(12, vec![DirectoryChange::Put(back_end(1, None))]), START);
     assert_eq!(usability(&directory, 1, START), Some(Usability::Usable));
     directory.apply(changes(13, vec![DirectoryChange::Gone(back_end(1, None).id.name().clone())]), START);
@@ -138,7 +138,7 @@
 fn many_failures_eject_and_one_probe_at_a_time_is_admitted() {
     let mut health = health();
     let ejections = (0..10).filter(|_| health.record_failure(START)).count();
-    assert_eq!(ejections, 1, "what was under way does not eject again");
+    assert_eq!(ejections, 1, "requests in flight do not eject again");
     assert!(!health.admits(START));
     let probe = START + HealthLimits::default().back_off_minimum;
     assert!(health.admits(probe));
@@ -176,7 +176,7 @@
     assert!(health.admits(probe + Duration::from_secs(3)));
 }
 
-/// Directories as readers of the store and those that they feed hold them: one is led to the other's state by its news.
+/// Applies a store reader's update to a replica that it feeds.
 fn apply_update(update: Option<DirectoryUpdate>, replica: &mut Directory) {
     match update {
         Some(DirectoryUpdate::Changes(changes)) => drop(replica.apply(changes, START)),
@@ -208,9 +208,9 @@
     assert_eq!(
         directory.update_since(Position::from(Revision(12))),
         confirmed,
-        "also one that stands at the same revision"
+        "also for a replica at the same revision"
     );
-    assert_eq!(directory.update_since(Position::from(Revision(13))), None, "one that is ahead is told nothing");
+    assert_eq!(directory.update_since(Position::from(Revision(13))), None, "a replica that is ahead gets nothing");
     assert_eq!(Directory::new().update_since(Position::from(Revision(0))), None);
 }
 
@@ -223,11 +223,11 @@
     assert_eq!((directory.position().revision, directory.changed_at().revision), (Revision(11), Revision(10)));
     let twice = vec![DirectoryChange::Put(draining(1)), DirectoryChange::Put(back_end(1, None))];
     directory.apply(changes(12, twice), START);
-    assert_eq!(usability(&directory, 1, START), Some(Usability::Usable), "the last change of a back end decides");
+    assert_eq!(usability(&directory, 1, START), Some(Usability::Usable), "the last change of a back end takes effect");
     assert_eq!(
         directory.changed_at(),
         Position::from(Revision(12)),
-        "another reader may have told the first one alone"
+        "another reader may have passed on only the first one"
     );
 }
 
@@ -269,11 +269,12 @@
     assert_eq!(replica.listing(), directory.listing());
     assert!(
         matches!(directory.update_since(Position::from(Revision(9))), Some(DirectoryUpdate::Listing(_))),
-        "older than all that is known"
+        "older than the kept history"
     );
 }
 
-/// Readers take batches of the same changes at other revisions; a replica fed by two of them, in any order, ends as they do.
+/// Two readers apply the same changes in batches that end at different revisions; a replica that either of them feeds,
+/// in any order, reaches the same state.
 #[test]
 fn a_replica_fed_by_two_readers_converges_with_them() {
     arbtest::arbtest(|u| {
--- a/crates/core/tests/back_ends_histories.rs
+++ b/crates/core/tests/back_ends_histories.rs
@@ -1,4 +1,4 @@
-//! Replicas of the directory over a store that goes back to older copies: histories in virtual time are checked.
+//! Checks random histories, in virtual time, of directory replicas over a store that is restored from older snapshots.
 
 mod support {
     pub mod relay_fixture;
@@ -18,17 +18,19 @@
 const TICK: Duration = Duration::from_millis(50);
 const TICKS: u64 = 1_200;
 
-/// The last ticks, in which nothing happens any more.
+/// The number of final ticks without events.
 const QUIET_TICKS: u64 = 240;
 
-/// The platform's bound: nobody sends to a back end later than this after the store has taken that it leaves or is gone.
+/// The platform's bound: no node sends to a back end later than this after the store recorded that it drains or was
+/// removed.
 const DRAIN_BOUND: u64 = 40;
 
-/// A back end that lives has written its entry again by then after the store came back; one that doesn't has lapsed by then.
+/// After a restore, a live back end has written its entry again within the first time; other entries have expired after
+/// the second.
 const REWRITTEN_WITHIN: u64 = 30;
 const EXPIRED_AFTER: u64 = 72;
 
-/// The longest between two times at which a replica is told what is new.
+/// The longest time between two updates of a replica.
 const UPDATED_WITHIN: u64 = 20;
 
 const NAMES: u8 = 8;
@@ -45,7 +47,7 @@
 #[derive(Clone, Default)]
 struct State {
     entries: Entries,
-    /// The changes so far with their revisions.
+    /// All changes so far, with their revisions.
     changes: Vec<(u64, DirectoryChange)>,
     revision: u64,
 }
@@ -55,7 +57,7 @@
     state: State,
     snapshots: Vec<State>,
     available_at: u64,
-    /// When the store took, in this era, that a life leaves or is gone.
+    /// When the store recorded, in this era, that an incarnation drains or was removed.
     drained_at: BTreeMap<BackEndId, u64>,
 }
 
@@ -72,7 +74,7 @@
         self.state.revision += 1;
         let change = match &entry {
             Some(back_end) => DirectoryChange::Put(back_end.clone()),
-            None => DirectoryChange::Gone(before.as_ref().expect("it was there").id.name().clone()),
+            None => DirectoryChange::Gone(before.as_ref().expect("an entry is present").id.name().clone()),
         };
         self.state.changes.push((self.state.revision, change));
         for back_end in before.iter().filter(|before| entry.as_ref().is_none_or(|entry| entry.id != before.id)) {
@@ -101,7 +103,7 @@
         DirectoryListing { position: self.position(), back_ends, malformed: Vec::new() }
     }
 
-    /// What a watch from `after` tells; `None` where the store doesn't have that.
+    /// The result of a watch from `after`; `None` if the store doesn't have that position.
     fn watch(&self, after: Position) -> Option<DirectoryChanges> {
         if after.era != self.position().era || after > self.position() {
             return None;
@@ -117,7 +119,7 @@
 #[derive(Clone, Default)]
 struct Replica {
     directory: Directory,
-    /// Lives that it has seen leave or go.
+    /// Incarnations that it has seen drain or disappear.
     seen_draining: BTreeSet<BackEndId>,
 }
 
@@ -136,7 +138,7 @@
 struct World {
     random: fastrand::Rng,
     store: Store,
-    /// The back ends that live, as they are.
+    /// The live back ends in their actual state.
     live: Entries,
     replicas: Vec<Replica>,
     starts: u64,
@@ -169,7 +171,7 @@
         self.write(number, Some(back_end), tick);
     }
 
-    /// Writes an entry, which the store doesn't take while it is away.
+    /// Writes an entry; the write is lost while the store is unavailable.
     fn write(&mut self, number: u8, entry: Option<BackEnd>, tick: u64) {
         if tick >= self.store.available_at {
             self.store.write(number, entry, tick);
@@ -188,7 +190,7 @@
                 }
             }
             3 if self.live.remove(&number).is_some() => self.write(number, None, tick),
-            // Away again before entries of those that are gone have lapsed, they may be used.
+            // If another outage began before the entries of removed back ends expired, they could be used.
             4 if tick > self.store.available_at + EXPIRED_AFTER + UPDATED_WITHIN => {
                 let (age, outage) = (self.random.usize(1..120), self.random.u64(..40));
                 self.store.restore(age, tick + outage);
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Those that live write their entries again, those of others lapse.
+    /// Live back ends write their entries again; other entries expire.
     fn rewrite_entries(&mut self, tick: u64) {
         let since = tick.saturating_sub(self.store.available_at);
         for number in 0..NAMES {
@@ -215,7 +217,7 @@
     fn update_replicas(&mut self, tick: u64) {
         let now = Timestamp::from_millis(100_000) + TICK * tick as u32;
         for index in 0..REPLICAS {
-            // Each is told within a second, most of the time much sooner.
+            // Each replica is updated within a second, mostly much sooner.
             let is_updated = self.random.u32(..4) == 0 || tick % UPDATED_WITHIN == index as u64;
             if !is_updated {
                 continue;
@@ -224,7 +226,7 @@
                 self.read(index, tick, now);
             } else {
                 let reader = self.random.usize(..READERS);
-                // Nodes hear of each other's era before they ask each other.
+                // Nodes learn each other's era before they request updates.
                 let learned = Position { revision: Revision(0), ..self.replicas[reader].directory.position() };
                 let position = self.replicas[index].directory.position().max(learned);
                 let update = self.replicas[reader].directory.update_since(position);
@@ -250,10 +252,10 @@
         }
     }
 
-    /// What is wrong now, if anything is.
+    /// Describes a violated invariant, if there is one.
     fn violation(&mut self, tick: u64) -> Option<String> {
         let now = Timestamp::from_millis(100_000) + TICK * tick as u32;
-        // A node that the store doesn't reach is not bound by what it takes.
+        // A node that can't reach the store is not bound by what the store records.
         let is_bound = tick >= self.store.available_at + DRAIN_BOUND;
         for replica in &mut self.replicas {
             for entry in replica.directory.entries() {
@@ -265,7 +267,7 @@
                 }
                 let is_live = self.live.values().any(|live| live.id == *id && live.state == BackEndState::Ready);
                 if is_usable && !is_live && replica.seen_draining.contains(id) {
-                    return Some(format!("tick {tick}: {id:?} was seen to leave and is used"));
+                    return Some(format!("tick {tick}: {id:?} was seen to drain or disappear and is used"));
                 }
                 if entry.back_end.state == BackEndState::Draining {
                     replica.seen_draining.insert(id.clone());
@@ -275,7 +277,7 @@
         None
     }
 
-    /// Whether all replicas use what lives and is ready, and nothing else.
+    /// Whether all replicas use exactly the back ends that are live and ready.
     fn is_settled(&self, tick: u64) -> bool {
         let now = Timestamp::from_millis(100_000) + TICK * tick as u32;
         let is_ready = |back_end: &&BackEnd| back_end.state == BackEndState::Ready;
@@ -300,11 +302,11 @@
             return Some(violation);
         }
     }
-    (!world.is_settled(TICKS)).then(|| "the replicas don't agree with what lives in the end".to_owned())
+    (!world.is_settled(TICKS)).then(|| "the replicas don't converge to the live back ends".to_owned())
 }
 
 #[test]
 fn draining_back_ends_are_unused_after_the_bound_and_replicas_converge_across_restores() {
     let violations: Vec<(u64, String)> = (0..2_000).filter_map(|seed| Some((seed, violation(seed)?))).collect();
-    assert!(violations.is_empty(), "{} faults, the first of them {:?}", violations.len(), violations.first());
+    assert!(violations.is_empty(), "{} violations, the first of them {:?}", violations.len(), violations.first());
 }
--- a/crates/core/tests/back_ends_of_an_older_copy.rs
+++ b/crates/core/tests/back_ends_of_an_older_copy.rs
@@ -1,4 +1,4 @@
-//! The directory when the store comes back from an older copy.
+//! The directory after the store is restored from an older snapshot.
 
 mod support {
     pub mod relay_fixture;
@@ -18,7 +18,7 @@
 
 const START: Timestamp = Timestamp::from_millis(1_000);
 
-/// When the store goes back in these tests: long after what happened before has lost its effect.
+/// When the store is restored in these tests: long after earlier events have lost their effect.
 const RESTORED_AT: Timestamp = Timestamp::from_millis(11_000);
 
 fn position(era: u64, revision: u64) -> Position {
@@ -84,13 +84,13 @@
 fn an_entry_missing_from_the_snapshot_is_usable_until_the_rewrite_grace_ends() {
     let mut directory = directory_of(&[1, 2]);
     assert!(directory.adopt(listing(2, 300, vec![ready(2)]), RESTORED_AT));
-    // Another reader's list of the same era says no more than the first one.
+    // Another reader's listing of the same era adds nothing to the first one.
     assert!(directory.adopt(listing(2, 301, vec![ready(2)]), RESTORED_AT + REWRITE_GRACE / 2));
     let until = RESTORED_AT + REWRITE_GRACE;
     assert_eq!(usability(&directory, 1, until - Duration::from_millis(1)), Some(Usability::Usable));
     assert_eq!(usability(&directory, 1, until), Some(Usability::LastResort));
     assert_eq!(usability(&directory, 1, until + LAST_RESORT), Some(Usability::Unusable));
-    assert_eq!(directory.listing().back_ends, [ready(2)], "others are told what the store says");
+    assert_eq!(directory.listing().back_ends, [ready(2)], "others get what the store lists");
 }
 
 #[test]
@@ -123,7 +123,7 @@
         let until = RESTORED_AT + QUARANTINE;
         assert_eq!(usability(&directory, 1, RESTORED_AT), Some(Usability::Unusable));
         assert_eq!(usability(&directory, 1, until - Duration::from_millis(1)), Some(Usability::Unusable));
-        assert_eq!(usability(&directory, 1, until), Some(Usability::Usable), "somebody keeps it");
+        assert_eq!(usability(&directory, 1, until), Some(Usability::Usable), "the back end keeps its entry alive");
         assert_eq!(usability(&directory, 2, RESTORED_AT), Some(Usability::Usable));
     }
 }
@@ -135,15 +135,15 @@
     assert!(directory.adopt(listing(2, 300, vec![ready(1), ready(2)]), RESTORED_AT));
     directory.apply(changes(2, 301, vec![DirectoryChange::Put(ready(1))]), RESTORED_AT);
     assert_eq!(usability(&directory, 1, RESTORED_AT), Some(Usability::Unusable));
-    assert_eq!(directory.listing().back_ends, [draining(1), ready(2)], "and others are told so");
+    assert_eq!(directory.listing().back_ends, [draining(1), ready(2)], "others get it as draining");
     let mut other = Directory::new();
     assert!(other.adopt(listing(2, 300, vec![ready(1), ready(2)]), RESTORED_AT));
     directory.apply(changes(2, 302, vec![DirectoryChange::Put(draining(1))]), RESTORED_AT);
     let Some(DirectoryUpdate::Changes(update)) = directory.update_since(other.position()) else {
-        panic!("it stands in the same era");
+        panic!("it should be in the same era");
     };
     assert!(other.apply(update, RESTORED_AT));
-    assert_eq!(other.listing().back_ends, [draining(1), ready(2)], "what is nothing new here may be new to others");
+    assert_eq!(other.listing().back_ends, [draining(1), ready(2)], "a redundant change here may be new to others");
 }
 
 #[test]
@@ -202,8 +202,8 @@
 fn a_position_without_an_era_is_encoded_as_the_bare_revision() {
     let bytes = |value: &dyn Fn() -> Vec<u8>| value();
     for revision in [0, 1, 500, Position::REVISION_MAXIMUM.0] {
-        let bare = bytes(&|| Revision(revision).write_to_vec_with_ctx(LittleEndian {}).expect("written"));
-        let packed = bytes(&|| position(0, revision).write_to_vec_with_ctx(LittleEndian {}).expect("written"));
+        let bare = bytes(&|| Revision(revision).write_to_vec_with_ctx(LittleEndian {}).expect("encoded"));
+        let packed = bytes(&|| position(0, revision).write_to_vec_with_ctx(LittleEndian {}).expect("encoded"));
         assert_eq!(bare, packed);
     }
 }
@@ -215,8 +215,8 @@
     let all = eras.iter().flat_map(|era| revisions.iter().map(|revision| position(*era, *revision)));
     let mut before = None;
     for position in all {
-        let bytes = position.write_to_vec().expect("written");
-        assert_eq!(Position::read_from_buffer(&bytes).expect("read"), position);
+        let bytes = position.write_to_vec().expect("encoded");
+        assert_eq!(Position::read_from_buffer(&bytes).expect("decoded"), position);
         assert!(before < Some(position));
         before = Some(position);
     }
