--- a/crates/relay/src/cache_survey.rs
+++ b/crates/relay/src/cache_survey.rs
@@ -34,9 +34,9 @@
         sleep(TRY_PAUSE).await;
     }
     for attempt in 0..TRIES {
-        traffic.readings.request_cached_parts().await;
+        traffic.peer_notices.request_cached_parts().await;
         sleep(TRY_PAUSE).await;
-        if traffic.readings.knows_cached_parts() {
+        if traffic.peer_notices.knows_cached_parts() {
             log::info!(event = "kept_parts_learned", source = "peer", attempt; "");
             return;
         }
@@ -60,7 +60,7 @@
         asked += 1;
         if let Ok(Some(kept)) = timeout(ENGINE_TIME_LIMIT, list(traffic, engine)).await {
             parts += kept.len();
-            traffic.readings.record_cached_parts(&engine.id, kept);
+            traffic.peer_notices.record_cached_parts(&engine.id, kept);
         }
     }
     let took_ms = whole_millis(began.elapsed());
--- a/crates/relay/src/callers/candidates.rs
+++ b/crates/relay/src/callers/candidates.rs
@@ -45,7 +45,7 @@
                     Usability::Usable if knowledge.is_changing(&entry.back_end, now) => Usability::LastResort,
                     usability => usability,
                 },
-                healthy: traffic.loads.admits(id, now) && !traffic.readings.is_suspected(id, now),
+                healthy: traffic.loads.admits(id, now) && !traffic.peer_notices.is_suspected(id, now),
                 connectable: traffic.pool.open(id) < connections_maximum || traffic.pool.idle(id) > 0,
                 in_flight: traffic.loads.in_flight(id),
             }
--- a/crates/relay/src/callers/exchange_driver.rs
+++ b/crates/relay/src/callers/exchange_driver.rs
@@ -152,7 +152,9 @@
     /// and many have a single try left.
     fn refusal(&self, reason: NotRunReason) -> OwnAnswer {
         let wait = match reason {
-            NotRunReason::EndsEngines => self.traffic.readings.engine_terminations().blocked_for(self.request.content),
+            NotRunReason::EndsEngines => {
+                self.traffic.peer_notices.engine_terminations().blocked_for(self.request.content)
+            }
             NotRunReason::BackEndsRest => all_rest_for(self.traffic, &self.request.service),
             _ => None,
         };
@@ -162,14 +164,14 @@
     /// The request's end where engines have ended under it, at any node: it would end the next one too, with all that runs
     /// there. Without this, each copy of such a request ended as many engines as its route allows attempts.
     fn end_of_blocked(&self) -> Option<NextStep> {
-        self.traffic.readings.engine_terminations().blocked_for(self.request.content)?;
+        self.traffic.peer_notices.engine_terminations().blocked_for(self.request.content)?;
         Some(self.exchange.give_up(NotRunReason::EndsEngines, MayHaveRun::EndsEngines))
     }
 
     /// A request under which engines have ended before is not sent on before it is known whether this one has ended too. All
     /// others go on at once.
     pub(super) async fn wait_for_fate(&self, back_end: &BackEndId) {
-        if self.traffic.readings.engine_terminations().is_suspect(self.request.content) {
+        if self.traffic.peer_notices.engine_terminations().is_suspect(self.request.content) {
             self.traffic.broken_runs.wait_for_fate(back_end).await;
         }
     }
@@ -207,7 +209,7 @@
             let began = traffic.clock.now();
             let attempt = self.attempt_stage(back_end, &stage).await;
             if matches!(attempt, Attempt::Answered(_)) && back_end.stage.is_some() {
-                traffic.readings.record_wait(traffic.clock.now().since(began));
+                traffic.peer_notices.record_wait(traffic.clock.now().since(began));
             }
             return attempt;
         };
@@ -215,11 +217,11 @@
             let began = traffic.clock.now();
             let attempt = self.attempt_stage(back_end, &SendStage::Decode(source.clone())).await;
             if matches!(attempt, Attempt::Answered(_)) {
-                traffic.readings.record_cache_transfer(&back_end.id, &prompt, traffic.clock.now().since(began));
+                traffic.peer_notices.record_cache_transfer(&back_end.id, &prompt, traffic.clock.now().since(began));
             }
             return attempt;
         }
-        let reading = traffic.readings.begin(back_end, &prompt, self.request.urgency);
+        let reading = traffic.peer_notices.begin(back_end, &prompt, self.request.urgency);
         let attempt = self.attempt_stage(back_end, &SendStage::Whole).await;
         let is_read = matches!(attempt, Attempt::Answered(_));
         reading.end(is_read);
@@ -300,7 +302,7 @@
             Ok(Ok(first)) => first,
         };
         self.traffic.loads.succeeded(&back_end.id);
-        self.traffic.readings.record_answer(&back_end.id);
+        self.traffic.peer_notices.record_answer(&back_end.id);
         self.note_run(self.traffic.clock.now());
         let Some(mut record) = self.record.take() else {
             return Attempt::Ended(SendOutcome::Lost, None);
@@ -335,7 +337,7 @@
     fn place_decode(&mut self, near: Option<&ZoneName>) -> Option<BackEnd> {
         let now = self.traffic.clock.now();
         let traffic = self.traffic;
-        traffic.readings.with_index(|index| self.place(&Purpose::Decode { near, index, now }))
+        traffic.peer_notices.with_index(|index| self.place(&Purpose::Decode { near, index, now }))
     }
 
     pub(super) fn place(&mut self, purpose: &Purpose<'_>) -> Option<BackEnd> {
--- a/crates/relay/src/callers/reading_step.rs
+++ b/crates/relay/src/callers/reading_step.rs
@@ -36,10 +36,10 @@
             if let Some(record) = &mut self.record {
                 record.prefill_back_end = Some(back_end.id.clone());
             }
-            let reading = self.traffic.readings.begin(&back_end, &prompt, self.request.urgency);
+            let reading = self.traffic.peer_notices.begin(&back_end, &prompt, self.request.urgency);
             let plan = self.read_at(back_end).await;
             reading.end(plan.is_some());
-            self.traffic.demand.set_isolated_prefills(self.traffic.readings.model().isolated_prefills());
+            self.traffic.demand.set_isolated_prefills(self.traffic.peer_notices.model().isolated_prefills());
             if let Some(plan) = plan {
                 self.note_prompt_read();
                 return plan;
@@ -62,7 +62,7 @@
             return PrefillPlan::WhereAnswered;
         }
         let now = traffic.clock.now();
-        let engine = traffic.readings.with_index(|index| self.place(&Purpose::ReadAside { index, now }));
+        let engine = traffic.peer_notices.with_index(|index| self.place(&Purpose::ReadAside { index, now }));
         let Some(engine) = engine else {
             return PrefillPlan::WhereAnswered;
         };
@@ -115,7 +115,7 @@
         let waited = now.since(self.request.arrived);
         let in_time = traffic.placement().in_time(self.request.route.target_latency, waited);
         let (back_end, placed) = traffic
-            .readings
+            .peer_notices
             .with_index(|index| self.place_expecting(&Purpose::Read { prompt, in_time, index, now }))?;
         self.request.urgency = placed.urgency;
         if let Some(record) = &mut self.record {
--- a/crates/relay/src/callers/send_step.rs
+++ b/crates/relay/src/callers/send_step.rs
@@ -89,7 +89,7 @@
         .filter(|entry| notices.usability(entry, now) == Usability::Usable)
         .filter(|entry| traffic.loads.admits(&entry.back_end.id, now));
     let others = usable.map(|entry| &entry.back_end);
-    traffic.readings.with_index(|index| index.keeper(&back_end.id, prompt, others).map(|keeper| keeper.address))
+    traffic.peer_notices.with_index(|index| index.keeper(&back_end.id, prompt, others).map(|keeper| keeper.address))
 }
 
 /// Who goes first at `back_end`: engines are told, applications have no such order.
@@ -128,7 +128,7 @@
     let heard = traffic.notices.lock().record(&back_end.id, notice, traffic.clock.now());
     let request = request.head.id_text();
     if heard.draining {
-        traffic.readings.queue_drain_announcement(&back_end.id);
+        traffic.peer_notices.queue_drain_announcement(&back_end.id);
         traffic.metrics.record_notice("leaves");
         log::info!(event = "back_end_leaves", back_end:% = back_end.id, told_by = "answer", request; "");
     }
@@ -140,7 +140,7 @@
     if let Some(LimitChange { limit, is_new }) = heard.limit {
         // Another number reaches peers in the course of things: an engine may name a new one in each answer.
         if is_new {
-            traffic.readings.queue_limit_announcement(&back_end.id);
+            traffic.peer_notices.queue_limit_announcement(&back_end.id);
         }
         traffic.metrics.record_notice("limits");
         log::info!(event = "back_end_limits", back_end:% = back_end.id, per_second:% = limit, told_by = "answer", request; "");
@@ -151,7 +151,7 @@
 fn note_no_limit<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, sent_at: Timestamp) {
     let ended = traffic.notices.lock().limits.record_no_limit(&back_end.id, sent_at);
     if ended {
-        traffic.readings.queue_limit_announcement(&back_end.id);
+        traffic.peer_notices.queue_limit_announcement(&back_end.id);
         let request = request.head.id_text();
         log::info!(event = "back_end_limit_ended", back_end:% = back_end.id, told_by = "answer", request; "");
     }
@@ -167,7 +167,7 @@
     let now = traffic.clock.now();
     let cause = failure.to_string();
     if failure.should_warn_peers(stage) {
-        traffic.readings.record_unreachable(&back_end.id);
+        traffic.peer_notices.record_unreachable(&back_end.id);
     }
     match failure {
         SendFailure::NoTime => {}
@@ -194,7 +194,7 @@
             traffic.loads.failed(&back_end.id, now);
             if matches!(stage, SendStage::Prefill) {
                 // Reading is the engine's own work, so its failure is the engine's.
-                traffic.readings.record_unreachable(&back_end.id);
+                traffic.peer_notices.record_unreachable(&back_end.id);
             }
         }
         // A back end without room is in order, and its load is known by what is under way there.
@@ -245,7 +245,7 @@
     lease.give_back();
     if judgement == AnswerHead::Proper {
         traffic.loads.succeeded(&back_end.id);
-        traffic.readings.record_answer(&back_end.id);
+        traffic.peer_notices.record_answer(&back_end.id);
         run.completed();
     }
     Some((parts, collected.to_bytes()))
--- a/crates/relay/src/callers/traffic.rs
+++ b/crates/relay/src/callers/traffic.rs
@@ -48,7 +48,7 @@
     /// Runs that back ends broke off.
     pub broken_runs: BrokenRuns,
     /// The prompts that are read now, and where shared parts are kept.
-    pub readings: PeerNotices,
+    pub peer_notices: PeerNotices,
     /// How long short prompts took, by where they were read.
     pub short_reading: Cell<ShortPrefill>,
     /// The late prompts that wait to be read.
@@ -76,8 +76,8 @@
     ) -> Self {
         let SharedWithTraffic { knowledge, demand, usage, configuration_shown, notices, clock, metrics } = shared;
         let pool = ConnectionPool::new(PoolLimits::default());
-        let readings = PeerNotices::new(Arc::clone(&knowledge), notices.clone(), clock, metrics.clone());
-        let engine_ends = readings.engine_terminations().clone();
+        let peer_notices = PeerNotices::new(Arc::clone(&knowledge), notices.clone(), clock, metrics.clone());
+        let engine_ends = peer_notices.engine_terminations().clone();
         Traffic {
             protocol,
             clock,
@@ -85,7 +85,7 @@
             pool,
             loads: BackEndLoads::default(),
             notices,
-            readings,
+            peer_notices,
             short_reading: Cell::default(),
             late_readings: RefCell::default(),
             placement: Cell::new(placement),
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -137,8 +137,8 @@
         let mut stop_signal = signal(SignalKind::terminate())?;
         let mut reload_signal = signal(SignalKind::hangup())?;
         let server = CallerServer::bind(settings.callers_address.0)?;
-        traffic.readings.exchange(settings.notices_address).await?;
-        tokio::task::spawn_local(traffic.readings.engine_terminations().clone().keep_in_store(blocks));
+        traffic.peer_notices.exchange(settings.notices_address).await?;
+        tokio::task::spawn_local(traffic.peer_notices.engine_terminations().clone().keep_in_store(blocks));
         tokio::task::spawn_local(survey(Rc::clone(&traffic)));
         serve_side(settings.readiness_address, Rc::clone(&traffic), readiness::<P>)?;
         if let Some(address) = settings.metrics_address {
@@ -168,12 +168,15 @@
     traffic.pool.tidy();
     let knowledge = traffic.knowledge.load();
     let services = knowledge.configuration.iter().flat_map(|active| &active.configuration.services);
-    traffic.readings.refresh(services.filter_map(|service| service.engines).map(|engines| engines.cache_tokens).min());
+    traffic
+        .peer_notices
+        .refresh(services.filter_map(|service| service.engines).map(|engines| engines.cache_tokens).min());
 }
 
 /// Logs what the node believes of engines, and the bytes that it has sent to other nodes since its start.
 fn log_summary<P>(traffic: &Traffic<P>) {
-    let [prefill, decode, moving] = traffic.readings.with_index(|index| index.model().estimates(traffic.clock.now()));
+    let [prefill, decode, moving] =
+        traffic.peer_notices.with_index(|index| index.model().estimates(traffic.clock.now()));
     log::info!(
         event = "engines_believed",
         prefill_rate = prefill.1.value,
@@ -234,14 +237,14 @@
 fn metrics_text<P>(traffic: &Traffic<P>) -> SideAnswer {
     let now = traffic.clock.now();
     let confirmed_at = traffic.knowledge.load().directory_confirmed_at;
-    traffic.readings.with_index(|index| traffic.metrics.set_estimates(index.model(), now));
+    traffic.peer_notices.with_index(|index| traffic.metrics.set_estimates(index.model(), now));
     traffic.metrics.set_state(&NodeState {
         open_requests: traffic.active.count(),
         connections: traffic.pool.open_total(),
         directory_age: confirmed_at.map(|confirmed_at| now.since(confirmed_at)),
         repeats_left: traffic.repeats_left(),
         late_stretch: traffic.late_stretch(),
-        blocked_contents: traffic.readings.engine_terminations().blocked(),
+        blocked_contents: traffic.peer_notices.engine_terminations().blocked(),
     });
     match traffic.metrics.encode() {
         Ok(text) => Response::new(Full::new(Bytes::from(text))),
