--- a/crates/relay/src/callers/answer.rs
+++ b/crates/relay/src/callers/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the node gives by itself, and the body type of all answers.
+//! Answers that the node itself generates, and the body type of all answers.
 
 use std::io;
 use std::pin::Pin;
@@ -16,9 +16,9 @@
 
 /// The body of an answer to a caller.
 pub enum RelayBody {
-    /// A body that is there already.
-    Whole(Full<Bytes>),
-    /// A body that is passed on as it comes.
+    /// A body that is in memory.
+    Buffered(Full<Bytes>),
+    /// A body that is streamed from a back end.
     Stream(Box<StreamBody>),
 }
 
@@ -28,76 +28,76 @@
 
     fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            RelayBody::Whole(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            RelayBody::Buffered(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
             RelayBody::Stream(body) => Pin::new(body.as_mut()).poll_frame(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            RelayBody::Whole(body) => body.is_end_stream(),
+            RelayBody::Buffered(body) => body.is_end_stream(),
             RelayBody::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            RelayBody::Whole(body) => body.size_hint(),
+            RelayBody::Buffered(body) => body.size_hint(),
             RelayBody::Stream(body) => body.size_hint(),
         }
     }
 }
 
-/// An answer that no back end gave.
+/// An answer that the node generates without a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnAnswer {
+pub struct LocalAnswer {
     /// The status.
     pub status: StatusCode,
-    /// Why, in a word: the answer's body, and the cause in logs.
+    /// The code of the cause: the answer's body, and the cause in logs.
     pub cause: &'static str,
-    /// When to come back, for requests that have not run.
+    /// When to retry, for requests that have not run.
     pub retry_after: Option<Duration>,
 }
 
-/// Callers whose request found no room come back after this time: long enough for a queue to move, short enough to be
-/// of use to those who wait for half a second only.
+/// The retry delay for requests that found no capacity: long enough for a queue to shrink, short enough for callers
+/// that wait only half a second.
 const RETRY_AFTER_BUSY: Duration = Duration::from_millis(150);
 
-/// Callers of a node that can't serve yet (or any more) come back after this time, to another node most likely.
+/// The retry delay at a node that can't serve yet, or no longer serves. The retry most likely reaches another node.
 const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(50);
 
-impl OwnAnswer {
-    /// The request has not run and never will; the caller is told when to come back.
+impl LocalAnswer {
+    /// The request has not run and never will; the answer tells the caller when to retry.
     pub fn refusal(reason: NotRunReason) -> Self {
         let retry_after = match reason {
             NotRunReason::NodeLeaving | NotRunReason::NodeSuspended => RETRY_AFTER_UNAVAILABLE,
             _ => RETRY_AFTER_BUSY,
         };
-        OwnAnswer { status: StatusCode::SERVICE_UNAVAILABLE, cause: reason.code(), retry_after: Some(retry_after) }
+        LocalAnswer { status: StatusCode::SERVICE_UNAVAILABLE, cause: reason.code(), retry_after: Some(retry_after) }
     }
 
-    /// The same, for a request that is of no use before `wait` is over.
+    /// Like `refusal`, for a request whose retry is refused again until `wait` has passed.
     pub fn refusal_for(reason: NotRunReason, wait: Duration) -> Self {
-        OwnAnswer { retry_after: Some(wait), ..OwnAnswer::refusal(reason) }
+        LocalAnswer { retry_after: Some(wait), ..LocalAnswer::refusal(reason) }
     }
 
-    /// The outcome of the request is not known.
+    /// The outcome of the request is unknown.
     pub fn failure(reason: MayHaveRun) -> Self {
         let status = match reason {
             MayHaveRun::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         };
-        OwnAnswer { status, cause: reason.code(), retry_after: None }
+        LocalAnswer { status, cause: reason.code(), retry_after: None }
     }
 
-    /// The request is not one that the node takes.
+    /// The request is invalid for this node.
     pub fn rejection(status: StatusCode, cause: &'static str) -> Self {
-        OwnAnswer { status, cause, retry_after: None }
+        LocalAnswer { status, cause, retry_after: None }
     }
 
-    /// The answer as it is sent.
+    /// The HTTP response that is sent.
     pub fn response(&self) -> Response<RelayBody> {
-        let mut response = Response::new(RelayBody::Whole(Full::new(Bytes::from_static(self.cause.as_bytes()))));
+        let mut response = Response::new(RelayBody::Buffered(Full::new(Bytes::from_static(self.cause.as_bytes()))));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/crates/relay/src/callers/caller_request.rs
+++ b/crates/relay/src/callers/caller_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, as the node goes by it.
+//! A caller's request in the form that the node routes and sends.
 
 use std::sync::Arc;
 
@@ -12,45 +12,45 @@
 
 use crate::protocol::RequestHead;
 
-/// Prompts of this many tokens and more are worth a choice of the engine that reads them; shorter ones take less time on
-/// the engine that answers them than the move of their KV cache.
+/// The smallest prompt for which the engine that prefills it is chosen separately. The prefill of a shorter one on the
+/// engine that answers takes less time than moving its KV cache there.
 const LONG_PROMPT_TOKENS: u32 = 2_000;
 
-/// A caller's request, read whole.
+/// A caller's request, read in full.
 pub struct CallerRequest {
     /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and the query.
     pub target: Uri,
-    /// The headers that travel.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// What the head says.
+    /// The parsed head.
     pub head: RequestHead,
-    /// What it asks, the same for each copy of it.
+    /// The id of its content, the same for each copy of the request.
     pub content: ContentId,
     /// The route.
     pub route: Arc<Route>,
-    /// Whose request it is, by its key; `None`: nobody's in particular.
+    /// The tenant, by the request's key; `None` for an anonymous request.
     pub tenant: Option<Arc<TenantAccess>>,
     /// The service that the request goes to.
     pub service: ServiceName,
     /// When it arrived.
     pub arrived: Timestamp,
-    /// When the request must have ended.
+    /// The request's deadline.
     pub ends_at: Timestamp,
-    /// Whether it can be in time, as it was last expected.
+    /// Whether it is expected to be in time, by the last estimate.
     pub urgency: Urgency,
 }
 
 impl CallerRequest {
-    /// The rank among requests alike: the tenant's, else the route's; 0 is the most urgent.
+    /// The rank among requests of the same urgency: the tenant's priority, else the route's; 0 is the most urgent.
     pub fn rank(&self) -> u8 {
         self.tenant.as_ref().and_then(|tenant| tenant.priority).unwrap_or(self.route.priority)
     }
 
-    /// The prompt, if it is worth a choice of the engine that reads it.
+    /// The prompt, if it is long enough for the engine that prefills it to be chosen separately.
     pub fn long_prompt(&self) -> Option<&Prompt> {
         self.head.prompt.as_ref().filter(|prompt| prompt.tokens >= LONG_PROMPT_TOKENS)
     }
--- a/crates/relay/src/callers/candidates.rs
+++ b/crates/relay/src/callers/candidates.rs
@@ -1,4 +1,4 @@
-//! The back ends that a request may be sent to, as this node sees them now.
+//! The back ends that a request may be sent to, by this node's local view.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use super::traffic::Traffic;
 use crate::knowledge::Knowledge;
 
-/// Chooses the back end of `service` that a request is sent to, other than those in `tried`, and tells how long it is
-/// expected to read the prompt.
+/// Chooses the back end of `service` that a request is sent to, other than those in `tried`, and returns it with the
+/// expected time until the prompt is prefilled there.
 pub fn choose_back_end<P>(
     traffic: &Traffic<P>,
     knowledge: &Knowledge,
@@ -41,7 +41,8 @@
             Candidate {
                 back_end: &entry.back_end,
                 usability: match notices.usability(entry, now) {
-                    // It refuses what it can't run before it changes, so it is a last resort.
+                    // An engine that changes its stage refuses what it can't run before the change, so it is a last
+                    // resort.
                     Usability::Usable if knowledge.is_changing(&entry.back_end, now) => Usability::LastResort,
                     usability => usability,
                 },
@@ -53,15 +54,15 @@
         .collect()
 }
 
-/// When the first back end that could answer takes requests again, where all of them have asked for rest; `None` otherwise.
-pub fn all_rest_for<P>(traffic: &Traffic<P>, service: &ServiceName) -> Option<Duration> {
+/// The time until the first back end that can answer leaves its backoff, if all of them are backing off; else `None`.
+pub fn backoff_remaining<P>(traffic: &Traffic<P>, service: &ServiceName) -> Option<Duration> {
     let knowledge = traffic.knowledge.load();
     let answers = |entry: &&DirectoryEntry| entry.back_end.stage != Some(EngineStage::Prefill);
     let entries = knowledge.directory.of_service(service).filter(answers);
     traffic.notices.lock().wait_until_available(entries, traffic.clock.now())
 }
 
-/// This node's part of the connections that a back end accepts from all nodes together.
+/// This node's share of the connections that a back end accepts from all nodes together.
 fn connections_maximum(knowledge: &Knowledge, service: &ServiceName) -> u32 {
     let description = knowledge.configuration.as_ref().and_then(|active| active.configuration.service(service));
     let maximum = description.map_or(u32::MAX, |description| description.connections_maximum);
--- a/crates/relay/src/callers/headers.rs
+++ b/crates/relay/src/callers/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern only one connection and don't travel.
+//! Removes hop-by-hop headers, which are not forwarded.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
@@ -9,28 +9,28 @@
     [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION];
 const CONNECTION_HEADERS_BY_NAME: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// Removes from a request's headers what concerns only the caller's connection. The length goes too: it is set anew
-/// from the body, which may have come in chunks.
+/// Removes hop-by-hop headers from a request. `Content-Length` is removed too: it is set again from the body, which may
+/// have been sent in chunks.
 pub fn strip_request(headers: &mut HeaderMap) {
     strip_connection(headers);
     headers.remove(EXPECT);
     headers.remove(CONTENT_LENGTH);
 }
 
-/// Removes from an answer's headers what concerns only the back end's connection.
+/// Removes hop-by-hop headers from a back end's answer.
 pub fn strip_answer(headers: &mut HeaderMap) {
     strip_connection(headers);
 }
 
 fn strip_connection(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&CONNECTION_HEADERS) {
+    for name in listed.iter().chain(&CONNECTION_HEADERS) {
         headers.remove(name);
     }
     for name in CONNECTION_HEADERS_BY_NAME {
--- a/crates/relay/src/callers/mod.rs
+++ b/crates/relay/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The side towards callers: their connections, and each request from its head to the end of its answer.
+//! Serves callers: their connections, and each request from its head to the end of its answer.
 
 mod answer;
 mod caller_request;
@@ -6,14 +6,14 @@
 mod exchange_driver;
 mod handler;
 mod headers;
-mod reading_step;
+mod prefill_step;
 mod record;
 mod send_step;
 mod server;
 mod stream_body;
 mod traffic;
 
-pub use answer::{OwnAnswer, RelayBody};
+pub use answer::{LocalAnswer, RelayBody};
 pub use handler::handle;
 pub use record::RequestRecord;
 pub use server::{CallerServer, LAST_CONNECTIONS_PATIENCE, ServerPhase, listen};
--- a/crates/relay/src/callers/record.rs
+++ b/crates/relay/src/callers/record.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of one request when it ends.
+//! The log line and the metrics of one request, written when it ends.
 
 use std::time::Duration;
 
@@ -12,84 +12,85 @@
 use crate::demand::SharedDemand;
 use crate::metrics::RelayMetrics;
 
-/// The time that an answer takes a place of an engine before its first piece comes: a step or two and the way to here.
-const FIRST_TOKEN: Duration = Duration::from_millis(10);
+/// How long an answer occupies a slot of its engine before its first piece arrives here: one or two steps and the
+/// network latency.
+const FIRST_TOKEN_TIME: Duration = Duration::from_millis(10);
 
-/// How a request ended, as logs and metrics name it.
+/// The outcome of a request in logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestEnd {
-    /// The whole answer was passed on.
+pub enum RequestOutcome {
+    /// The full answer was passed on.
     Completed,
     /// The back end's own report of a failure was passed on.
     Failed,
     /// The request has not run.
     Refused,
-    /// The request is not one that the node takes.
+    /// The request is invalid for this node.
     Rejected,
-    /// The outcome is not known.
+    /// The outcome is unknown: the request may have run.
     MayHaveRun,
-    /// The answer was broken off after it had begun.
-    Cut,
+    /// The answer was interrupted after it had begun.
+    Interrupted,
     /// The caller hung up.
     CallerGone,
 }
 
-impl RequestEnd {
-    /// The word in logs and metrics.
+impl RequestOutcome {
+    /// The name in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
-            RequestEnd::Completed => "completed",
-            RequestEnd::Failed => "failed",
-            RequestEnd::Refused => "refused",
-            RequestEnd::Rejected => "rejected",
-            RequestEnd::MayHaveRun => "may_have_run",
-            RequestEnd::Cut => "cut",
-            RequestEnd::CallerGone => "caller_gone",
+            RequestOutcome::Completed => "completed",
+            RequestOutcome::Failed => "failed",
+            RequestOutcome::Refused => "refused",
+            RequestOutcome::Rejected => "rejected",
+            RequestOutcome::MayHaveRun => "may_have_run",
+            RequestOutcome::Interrupted => "cut",
+            RequestOutcome::CallerGone => "caller_gone",
         }
     }
 }
 
-/// The record of one request. One that is dropped unfinished belongs to a caller that hung up.
+/// The record of one request. A record that is dropped unfinished is logged as a caller that hung up.
 pub struct RequestRecord {
-    /// The request's identity.
+    /// The request's id.
     pub request: String,
-    /// What it asks, the same for each copy of it; `None` until it was read whole.
+    /// The id of its content, the same for each copy of the request; `None` until it is read in full.
     pub content: Option<ContentId>,
     /// Its route.
     pub route: Option<RouteName>,
-    /// Whose it is.
+    /// Its tenant.
     pub tenant: Option<TenantName>,
-    /// The service that it went to.
+    /// The service that it was routed to.
     pub service: Option<ServiceName>,
     /// The back end that it was sent to last.
     pub back_end: Option<BackEndId>,
-    /// The engine that read its prompt.
+    /// The prefill engine that its prompt was sent to last.
     pub prefill_back_end: Option<BackEndId>,
     /// Sends that left the node.
     pub sends: u32,
-    /// Repeats that were taken out of the shared budget.
+    /// Retries charged to the shared budget.
     pub repeats: u32,
     /// The version of the configuration that decided its route.
     pub configuration: u64,
     /// The age of the directory when it was placed.
     pub directory_age: Option<Duration>,
-    /// How long its prompt was expected to be read.
-    pub expected_reading: Option<Duration>,
-    /// How long after its arrival its prompt was read by an engine that does not answer it.
-    pub read_after: Option<Duration>,
-    /// Whether it could be in time, as it was expected.
+    /// The expected time until its prompt is prefilled.
+    pub expected_prefill: Option<Duration>,
+    /// The time from its arrival until another engine than the one that answers had prefilled its prompt.
+    pub prefilled_after: Option<Duration>,
+    /// Whether it was expected to be in time.
     pub urgency: Option<Urgency>,
-    /// By how much more than expected late prompts took when it was placed; `None` where it was not late.
+    /// By which factor late prompts took longer than expected when it was placed; `None` if it was not late.
     pub late_stretch: Option<f64>,
     /// When it arrived.
     pub arrived: Timestamp,
-    /// When the first piece of its answer came.
+    /// When the first piece of its answer arrived.
     pub first_piece: Option<Timestamp>,
-    /// When the last piece came.
+    /// When the last piece arrived.
     pub last_piece: Option<Timestamp>,
     /// The longest time between two pieces.
     pub longest_pause: Option<Duration>,
-    /// Counts it as under way at its back end.
+    /// Counts it as in flight at its back end.
     pub in_flight: Option<InFlight>,
     clock: Clock,
     demand: SharedDemand,
@@ -112,8 +113,8 @@
             repeats: 0,
             configuration: 0,
             directory_age: None,
-            expected_reading: None,
-            read_after: None,
+            expected_prefill: None,
+            prefilled_after: None,
             urgency: None,
             late_stretch: None,
             arrived: traffic.clock.now(),
@@ -128,15 +129,15 @@
         }
     }
 
-    /// Notes that a piece of the answer came.
-    pub fn note_piece(&mut self) {
+    /// Records that a piece of the answer arrived.
+    pub fn record_piece(&mut self) {
         let now = self.clock.now();
         let last = self.last_piece.replace(now).or(self.first_piece);
         self.longest_pause = self.longest_pause.max(last.map(|last| now.since(last)));
     }
 
     /// Logs and counts the end of the request, once.
-    pub fn finish(&mut self, end: RequestEnd, cause: &'static str) {
+    pub fn finish(&mut self, outcome: RequestOutcome, cause: &'static str) {
         if self.active.take().is_none() {
             return;
         }
@@ -144,19 +145,19 @@
         let took = self.clock.now().since(self.arrived);
         let first = self.first_piece.map(|first_piece| first_piece.since(self.arrived));
         if let (Some(first_piece), Some(service)) = (self.first_piece, &self.service) {
-            self.demand.record_answer(service, self.clock.now().since(first_piece) + FIRST_TOKEN);
+            self.demand.record_answer(service, self.clock.now().since(first_piece) + FIRST_TOKEN_TIME);
         }
         let route = self.route.as_ref().map_or("", RouteName::as_str);
         if let (Some(service), 1..) = (&self.service, self.repeats) {
             self.metrics.record_repeats(service, self.repeats);
         }
-        self.metrics.record_end(route, end.code(), cause, took, first);
+        self.metrics.record_end(route, outcome.code(), cause, took, first);
         log::log!(
-            level_of(end),
+            log_level(outcome),
             event = "request_ended",
             request = self.request.as_str(),
             content = self.content.map(|content| content.to_string()).unwrap_or_default(),
-            outcome = end.code(),
+            outcome = outcome.code(),
             cause,
             route,
             tenant = self.tenant.as_ref().map_or("", TenantName::as_str),
@@ -168,8 +169,8 @@
             took_ms = millis(Some(took)),
             first_ms = millis(first),
             pause_ms = millis(self.longest_pause),
-            expected_reading_ms = millis(self.expected_reading),
-            read_ms = millis(self.read_after),
+            expected_reading_ms = millis(self.expected_prefill),
+            read_ms = millis(self.prefilled_after),
             late = self.urgency == Some(Urgency::Late),
             late_stretch = self.late_stretch.unwrap_or(-1.0),
             configuration = self.configuration,
@@ -179,10 +180,13 @@
     }
 }
 
-fn level_of(end: RequestEnd) -> log::Level {
-    match end {
-        RequestEnd::Completed | RequestEnd::Failed | RequestEnd::CallerGone => log::Level::Info,
-        RequestEnd::Refused | RequestEnd::Rejected | RequestEnd::MayHaveRun | RequestEnd::Cut => log::Level::Warn,
+fn log_level(outcome: RequestOutcome) -> log::Level {
+    match outcome {
+        RequestOutcome::Completed | RequestOutcome::Failed | RequestOutcome::CallerGone => log::Level::Info,
+        RequestOutcome::Refused
+        | RequestOutcome::Rejected
+        | RequestOutcome::MayHaveRun
+        | RequestOutcome::Interrupted => log::Level::Warn,
     }
 }
 
@@ -193,6 +197,6 @@
 
 impl Drop for RequestRecord {
     fn drop(&mut self) {
-        self.finish(RequestEnd::CallerGone, "hung_up");
+        self.finish(RequestOutcome::CallerGone, "hung_up");
     }
 }
--- a/crates/relay/src/callers/send_step.rs
+++ b/crates/relay/src/callers/send_step.rs
@@ -1,4 +1,4 @@
-//! One send of a request, with what its outcome tells about the back end.
+//! Sends a request once, and records what the outcome shows about the back end.
 
 use std::time::Instant;
 
@@ -17,17 +17,17 @@
 use crate::back_ends::{AnswerInProgress, SendFailure, Sent, is_unacknowledged, send};
 use crate::protocol::{AnswerHead, EngineUrgency, Protocol, SendStage};
 
-/// The largest answer that is held until it is whole.
-const HELD_ANSWER_MAXIMUM_BYTES: usize = 1024 * 1024;
+/// The largest answer that is buffered until it is complete.
+const BUFFERED_ANSWER_MAXIMUM_BYTES: usize = 1024 * 1024;
 
-/// The largest answer that is read only to keep its connection.
+/// The largest answer that is read only to reuse its connection.
 const DISCARDED_ANSWER_MAXIMUM_BYTES: usize = 16 * 1024;
 
-/// Sends a request and notes what the outcome tells about the back end.
+/// Sends a request and records what the outcome shows about the back end.
 ///
 /// # Errors
-/// When there is no answer.
-pub async fn send_noted<P: Protocol>(
+/// If there is no answer.
+pub async fn send_and_record<P: Protocol>(
     traffic: &Traffic<P>,
     request: &CallerRequest,
     back_end: &BackEnd,
@@ -40,37 +40,37 @@
         body: request.body.clone(),
         head: &request.head,
         stage,
-        cache_peer: keeper_for(traffic, request, back_end, stage),
+        cache_peer: cache_peer_for(traffic, request, back_end, stage),
         urgency: urgency_for(traffic, request, back_end, stage),
         tenant: request.tenant.as_ref().map(|tenant| &tenant.name),
         ends_at: request.ends_at,
         clock: traffic.clock,
     };
     let sent_at = traffic.clock.now();
-    note_call(traffic, request, back_end, sent_at);
+    record_call(traffic, request, back_end, sent_at);
     let in_flight = traffic.loads.begin(&back_end.id, sent_at);
-    let is_reading = matches!(stage, SendStage::Prefill);
-    let run = traffic.broken_runs.begin(back_end, request.content, request.head.id_text(), is_reading);
+    let is_prefill = matches!(stage, SendStage::Prefill);
+    let run = traffic.broken_runs.begin(back_end, request.content, request.head.id_text(), is_prefill);
     let result = send(&traffic.protocol, &traffic.pool, back_end, &sent, in_flight, run.clone()).await;
     if let Err(SendFailure::Lost(_)) = &result {
         run.broke_off();
     }
     match &result {
         Ok(answer) => {
-            note_notice(traffic, request, back_end, answer.notice);
+            apply_notice(traffic, request, back_end, answer.notice);
             if answer.judgement == AnswerHead::Proper && answer.notice.limit.is_none() {
-                note_no_limit(traffic, request, back_end, sent_at);
+                apply_no_limit(traffic, request, back_end, sent_at);
             }
-            note_judgement(traffic, request, back_end, stage, answer.judgement);
+            record_judgement(traffic, request, back_end, stage, answer.judgement);
         }
-        Err(failure) => note_failure(traffic, request, back_end, stage, failure),
+        Err(failure) => record_failure(traffic, request, back_end, stage, failure),
     }
-    traffic.metrics.record_send(request.service.as_str(), stage_label(stage), label_of(&result));
+    traffic.metrics.record_send(request.service.as_str(), stage_label(stage), result_label(&result));
     result
 }
 
-/// The engine from which `back_end` may take the shared part of a long prompt that it is to read.
-fn keeper_for<P>(
+/// The engine from which `back_end` may copy the cached part of a long prompt instead of prefilling it.
+fn cache_peer_for<P>(
     traffic: &Traffic<P>,
     request: &CallerRequest,
     back_end: &BackEnd,
@@ -89,56 +89,58 @@
         .filter(|entry| notices.usability(entry, now) == Usability::Usable)
         .filter(|entry| traffic.loads.admits(&entry.back_end.id, now));
     let others = usable.map(|entry| &entry.back_end);
-    traffic.peer_notices.with_index(|index| index.keeper(&back_end.id, prompt, others).map(|keeper| keeper.address))
+    traffic.peer_notices.with_index(|index| index.keeper(&back_end.id, prompt, others).map(|peer| peer.address))
 }
 
-/// Who goes first at `back_end`: engines are told, applications have no such order.
+/// The urgency of the request at `back_end`; `None` for applications, which don't order requests by urgency.
 ///
-/// A prompt that was read already goes before all others, also when it is late: little is left to do for it, and behind
-/// prompts that are read and in time it would wait until its caller has gone, and its reading be for nothing.
+/// A request whose prompt is prefilled already goes before all others, even if it is late: little work is left, and
+/// behind requests that are in time but not prefilled yet it would wait until its caller has hung up, and its prefill
+/// would be wasted.
 fn urgency_for<P>(
     traffic: &Traffic<P>,
     request: &CallerRequest,
     back_end: &BackEnd,
     stage: &SendStage,
 ) -> Option<EngineUrgency> {
-    let told = traffic.placement().orders_by_urgency && back_end.stage.is_some();
+    let sends_urgency = traffic.placement().orders_by_urgency && back_end.stage.is_some();
     let urgency = match stage {
         SendStage::Decode(_) => EngineUrgency { urgency: Urgency::InTime, rank: 0 },
         SendStage::Whole | SendStage::Prefill => EngineUrgency { urgency: request.urgency, rank: request.rank() },
     };
-    told.then_some(urgency)
+    sends_urgency.then_some(urgency)
 }
 
-/// Notes a send, and tells of one that its back end's own word speaks against. There are none but those that were decided before it came.
-fn note_call<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, now: Timestamp) {
-    let unwelcome = traffic.notices.lock().record_call(&back_end.id, now);
-    if let Some(unwelcome) = unwelcome {
-        let (request, code) = (request.head.id_text(), unwelcome.code());
+/// Records a send, and logs it if the back end's own announcement makes that back end ineligible. That happens only to
+/// sends that were decided before the announcement arrived.
+fn record_call<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, now: Timestamp) {
+    let ineligibility = traffic.notices.lock().record_call(&back_end.id, now);
+    if let Some(ineligibility) = ineligibility {
+        let (request, code) = (request.head.id_text(), ineligibility.code());
         traffic.metrics.record_ineligible_send(code);
         log::warn!(event = "send_unwelcome", request, back_end:% = back_end.id, back_end_says = code; "");
     }
 }
 
-/// Takes in what an answer says of the back end itself, and tells of what the node did not know before.
-fn note_notice<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, notice: BackEndNotice) {
+/// Applies what an answer announces about the back end itself, and logs what is new to the node.
+fn apply_notice<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, notice: BackEndNotice) {
     if notice == BackEndNotice::default() {
         return;
     }
-    let heard = traffic.notices.lock().record(&back_end.id, notice, traffic.clock.now());
+    let effect = traffic.notices.lock().record(&back_end.id, notice, traffic.clock.now());
     let request = request.head.id_text();
-    if heard.draining {
+    if effect.draining {
         traffic.peer_notices.queue_drain_announcement(&back_end.id);
         traffic.metrics.record_notice("leaves");
         log::info!(event = "back_end_leaves", back_end:% = back_end.id, told_by = "answer", request; "");
     }
-    if let Some(rest) = heard.backoff {
+    if let Some(backoff) = effect.backoff {
         traffic.metrics.record_notice("rests");
-        let rest_ms = whole_millis(rest);
+        let rest_ms = whole_millis(backoff);
         log::info!(event = "back_end_rests", back_end:% = back_end.id, rest_ms, request; "");
     }
-    if let Some(LimitChange { limit, is_new }) = heard.limit {
-        // Another number reaches peers in the course of things: an engine may name a new one in each answer.
+    if let Some(LimitChange { limit, is_new }) = effect.limit {
+        // A changed limit reaches peers with the regular updates: an engine may announce a new one in each answer.
         if is_new {
             traffic.peer_notices.queue_limit_announcement(&back_end.id);
         }
@@ -147,17 +149,17 @@
     }
 }
 
-/// Takes in that an answer to a request that was sent at `sent_at` named no limit.
-fn note_no_limit<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, sent_at: Timestamp) {
-    let ended = traffic.notices.lock().limits.record_no_limit(&back_end.id, sent_at);
-    if ended {
+/// Records that an answer to a request sent at `sent_at` announced no limit.
+fn apply_no_limit<P>(traffic: &Traffic<P>, request: &CallerRequest, back_end: &BackEnd, sent_at: Timestamp) {
+    let limit_ended = traffic.notices.lock().limits.record_no_limit(&back_end.id, sent_at);
+    if limit_ended {
         traffic.peer_notices.queue_limit_announcement(&back_end.id);
         let request = request.head.id_text();
         log::info!(event = "back_end_limit_ended", back_end:% = back_end.id, told_by = "answer", request; "");
     }
 }
 
-fn note_failure<P>(
+fn record_failure<P>(
     traffic: &Traffic<P>,
     request: &CallerRequest,
     back_end: &BackEnd,
@@ -172,14 +174,15 @@
     match failure {
         SendFailure::NoTime => {}
         SendFailure::NotSent(_) | SendFailure::Silent(_) => traffic.loads.unreachable(&back_end.id, now, &cause),
-        // A back end that broke off may be in order. One that is gone shows at the next connection, which costs nothing.
+        // A back end that interrupted an answer may be healthy. If it is gone, the next connection attempt shows that
+        // at no cost.
         SendFailure::TimedOut | SendFailure::Lost(_) => traffic.loads.failed(&back_end.id, now),
     }
     let request = request.head.id_text();
     log::warn!(event = "send_failed", request, back_end:% = back_end.id, address:% = back_end.address, cause; "");
 }
 
-fn note_judgement<P>(
+fn record_judgement<P>(
     traffic: &Traffic<P>,
     request: &CallerRequest,
     back_end: &BackEnd,
@@ -188,16 +191,16 @@
 ) {
     let now = traffic.clock.now();
     match judgement {
-        // Whether the answer is whole is not known yet.
+        // It is not known yet whether the answer is complete.
         AnswerHead::Proper => return,
         AnswerHead::Failure | AnswerHead::Foreign => {
             traffic.loads.failed(&back_end.id, now);
             if matches!(stage, SendStage::Prefill) {
-                // Reading is the engine's own work, so its failure is the engine's.
+                // The engine itself runs the prefill, so the failure is the engine's.
                 traffic.peer_notices.record_unreachable(&back_end.id);
             }
         }
-        // A back end without room is in order, and its load is known by what is under way there.
+        // A back end without capacity is healthy, and its load is known from the requests in flight there.
         AnswerHead::Declined => {}
         AnswerHead::WrongBackEnd => traffic.loads.unreachable(&back_end.id, now, "another_back_end"),
     }
@@ -205,7 +208,7 @@
     log::info!(event = "answer_judged", request, back_end:% = back_end.id, judgement:? = judgement; "");
 }
 
-/// What an answer's head means for the request; `None`: its proper answer.
+/// The outcome of the send by the answer's head; `None` for the request's proper answer.
 pub fn outcome_of_head(judgement: AnswerHead) -> Option<SendOutcome> {
     match judgement {
         AnswerHead::Proper => None,
@@ -215,7 +218,7 @@
     }
 }
 
-/// What the lack of an answer means for the request.
+/// The outcome of a send that got no answer.
 pub fn outcome_of_failure(failure: &SendFailure) -> SendOutcome {
     match failure {
         SendFailure::NoTime | SendFailure::NotSent(_) => SendOutcome::NotSent,
@@ -223,8 +226,8 @@
     }
 }
 
-/// Reads an answer to its end and keeps its connection; `None` when it is cut or too large.
-pub async fn read_whole<P>(
+/// Reads a full answer and keeps its connection; `None` if it is interrupted or too large.
+pub async fn read_full_answer<P>(
     traffic: &Traffic<P>,
     back_end: &BackEnd,
     answer: AnswerInProgress,
@@ -232,10 +235,10 @@
 ) -> Option<(Parts, Bytes)> {
     let AnswerInProgress { response, judgement, lease, in_flight, run, .. } = answer;
     let (parts, body) = response.into_parts();
-    let collected = timeout_at(ends_at.into(), Limited::new(body, HELD_ANSWER_MAXIMUM_BYTES).collect()).await;
+    let collected = timeout_at(ends_at.into(), Limited::new(body, BUFFERED_ANSWER_MAXIMUM_BYTES).collect()).await;
     drop(in_flight);
-    let is_break = |error: &hyper::Error| !is_unacknowledged(error);
-    if matches!(&collected, Ok(Err(error)) if error.downcast_ref().is_some_and(is_break)) {
+    let is_interruption = |error: &hyper::Error| !is_unacknowledged(error);
+    if matches!(&collected, Ok(Err(error)) if error.downcast_ref().is_some_and(is_interruption)) {
         run.broke_off();
     }
     let Ok(Ok(collected)) = collected else {
@@ -251,7 +254,7 @@
     Some((parts, collected.to_bytes()))
 }
 
-/// Reads the answer of a back end that declined, so that its connection serves again.
+/// Reads and drops the answer of a back end that declined, so that its connection can be reused.
 pub async fn discard(answer: AnswerInProgress, ends_at: Instant) {
     let body = Limited::new(answer.response.into_body(), DISCARDED_ANSWER_MAXIMUM_BYTES).collect();
     if let Ok(Ok(_)) = timeout_at(ends_at.into(), body).await {
@@ -262,7 +265,7 @@
 /// The first piece of a body; `None` for an empty one.
 ///
 /// # Errors
-/// When the body is broken off before.
+/// If the body is interrupted before.
 pub async fn first_piece(body: &mut Incoming) -> Result<Option<Bytes>, hyper::Error> {
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
@@ -279,7 +282,7 @@
     }
 }
 
-fn label_of(result: &Result<AnswerInProgress, SendFailure>) -> &'static str {
+fn result_label(result: &Result<AnswerInProgress, SendFailure>) -> &'static str {
     match result {
         Ok(answer) => match answer.judgement {
             AnswerHead::Proper => "answered",
--- a/crates/relay/src/callers/server.rs
+++ b/crates/relay/src/callers/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections and serves them, through planned stops too.
+//! Accepts and serves callers' connections, also during a planned stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,27 +16,30 @@
 use super::traffic::Traffic;
 use crate::protocol::Protocol;
 
-/// Connections that wait to be accepted. When many callers come at once, a full queue costs them seconds.
+/// The number of connections that may wait to be accepted. When many callers connect at once, a full queue delays them
+/// by seconds.
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// How long a connection may rest, and a head may take, while no configuration says so.
+/// How long a connection may be idle, and a request head may take, while there is no configuration.
 const IDLE_TIME_LIMIT_DEFAULT: Duration = Duration::from_secs(15);
 
-/// Room for a head beyond what the configuration allows: what exceeds it is told so instead of cut.
+/// The buffer for a request head, larger than the configuration allows: a head over the limit is answered with an error
+/// instead of a closed connection.
 const HEAD_BUFFER_BYTES: usize = 64 * 1024;
 
-/// After an accept that failed (no descriptor is left, most likely), others are given this time to end.
+/// The pause after a failed accept, most likely because no file descriptor is free: other connections may close
+/// meanwhile.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A connection that came just before the listener closed gets this time to send its first request.
+/// How long a connection that was opened just before the listener closed may take to send its first request.
 pub const LAST_CONNECTIONS_PATIENCE: Duration = Duration::from_millis(300);
 
-/// The server's part in a planned stop.
+/// The phase of the server, which changes in a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerPhase {
-    /// Connections are accepted and kept.
+    /// Connections are accepted and kept open.
     Serving,
-    /// No more are accepted; those that are open end after their present request.
+    /// No connections are accepted; open ones close after their current request.
     Closing,
 }
 
@@ -46,15 +49,15 @@
 }
 
 impl CallerServer {
-    /// Listens at `address`.
+    /// Listens on `address`.
     ///
     /// # Errors
-    /// When the address can't be listened at.
+    /// If the address can't be listened on.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         Ok(CallerServer { listener: listen(address)? })
     }
 
-    /// Serves until the phase is `Closing` and the listener's queue is empty. Connections go on as local tasks.
+    /// Serves until the phase is `Closing` and the listener's queue is empty. Connections continue as local tasks.
     pub async fn serve<P: Protocol>(self, traffic: Rc<Traffic<P>>, phase: watch::Receiver<ServerPhase>) {
         let mut phase_change = phase.clone();
         loop {
@@ -69,16 +72,16 @@
                 _ = phase_change.wait_for(|phase| *phase == ServerPhase::Closing) => break,
             }
         }
-        while let Some(stream) = accept_waiting(&self.listener).await {
+        while let Some(stream) = accept_queued(&self.listener).await {
             open_connection(&traffic, stream, phase.clone());
         }
     }
 }
 
-/// A listener with a queue that bears many callers at once.
+/// A listener whose queue is long enough for many callers at once.
 ///
 /// # Errors
-/// When the address can't be listened at.
+/// If the address can't be listened on.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -86,8 +89,8 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// The next connection of the queue, if one waits there already.
-async fn accept_waiting(listener: &TcpListener) -> Option<TcpStream> {
+/// The next connection in the listener's queue; `None` if the queue is empty.
+async fn accept_queued(listener: &TcpListener) -> Option<TcpStream> {
     tokio::select! {
         biased;
         accepted = listener.accept() => accepted.ok().map(|(stream, _)| stream),
@@ -114,7 +117,7 @@
             sleep(LAST_CONNECTIONS_PATIENCE).await;
         };
         tokio::select! {
-            // The caller's and the back end's part in a broken connection is logged with the request.
+            // Connection errors of the caller and of the back end are logged with the request.
             _ = connection.as_mut() => return,
             () = closing => connection.as_mut().graceful_shutdown(),
         }
--- a/crates/relay/src/callers/stream_body.rs
+++ b/crates/relay/src/callers/stream_body.rs
@@ -1,4 +1,4 @@
-//! An answer's body that is passed on piece by piece as it comes.
+//! An answer's body that is streamed to the caller.
 
 use std::future::Future;
 use std::io;
@@ -9,15 +9,15 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::Sleep;
 
-use super::record::{RequestEnd, RequestRecord};
+use super::record::{RequestOutcome, RequestRecord};
 use crate::back_ends::{Lease, is_unacknowledged};
 use crate::broken_runs::Run;
 
-/// The rest of an answer, tied to the connection that it comes over.
+/// The body of a streamed answer, with the lease of the back end's connection that it arrives on.
 ///
-/// An answer that the back end breaks off, or that is not whole at the route's time limit, ends with an error: the
-/// server then closes the caller's connection without the mark of a whole answer. A caller that hangs up drops the
-/// body, which closes the back end's connection.
+/// An answer that the back end interrupts, or that is incomplete at the route's time limit, ends with an error: the
+/// server then closes the caller's connection without the end marker of a complete answer. When a caller hangs up, the
+/// body is dropped, which closes the back end's connection.
 pub struct StreamBody {
     first: Option<Bytes>,
     incoming: Incoming,
@@ -28,7 +28,7 @@
 }
 
 impl StreamBody {
-    /// A body whose first piece has been read already.
+    /// A body whose first piece is read already.
     pub fn new(
         first: Option<Bytes>,
         incoming: Incoming,
@@ -40,17 +40,17 @@
         StreamBody { first, incoming, lease: Some(lease), time_limit, record, run }
     }
 
-    fn ended(&mut self) {
+    fn complete(&mut self) {
         if let Some(lease) = self.lease.take() {
             lease.give_back();
         }
         self.run.completed();
-        self.record.finish(RequestEnd::Completed, "");
+        self.record.finish(RequestOutcome::Completed, "");
     }
 
-    fn cut(&mut self, cause: &'static str) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn interrupt(&mut self, cause: &'static str) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         self.lease = None;
-        self.record.finish(RequestEnd::Cut, cause);
+        self.record.finish(RequestOutcome::Interrupted, cause);
         Poll::Ready(Some(Err(io::Error::other(cause))))
     }
 }
@@ -70,26 +70,26 @@
         loop {
             match Pin::new(&mut body.incoming).poll_frame(context) {
                 Poll::Ready(Some(Ok(frame))) if frame.is_data() => {
-                    body.record.note_piece();
+                    body.record.record_piece();
                     return Poll::Ready(Some(Ok(frame)));
                 }
-                // Trailers concern the back end's connection only.
+                // Trailers concern only the back end's connection.
                 Poll::Ready(Some(Ok(_))) => {}
                 Poll::Ready(Some(Err(error))) => {
                     if !is_unacknowledged(&error) {
                         body.run.broke_off();
                     }
-                    return body.cut("back_end_broke_off");
+                    return body.interrupt("back_end_broke_off");
                 }
                 Poll::Ready(None) => {
-                    body.ended();
+                    body.complete();
                     return Poll::Ready(None);
                 }
                 Poll::Pending => break,
             }
         }
         match body.time_limit.as_mut().poll(context) {
-            Poll::Ready(()) => body.cut("time_limit"),
+            Poll::Ready(()) => body.interrupt("time_limit"),
             Poll::Pending => Poll::Pending,
         }
     }
--- a/crates/relay/src/callers/traffic.rs
+++ b/crates/relay/src/callers/traffic.rs
@@ -1,4 +1,4 @@
-//! What all requests of a node share, on its traffic thread.
+//! The state that all requests of a node share on its traffic thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,41 +23,41 @@
 use crate::peer_notices::PeerNotices;
 use crate::usage::SharedUsage;
 
-/// What all requests of a node share.
+/// The state that all requests of a node share.
 pub struct Traffic<P> {
-    /// What callers and back ends speak.
+    /// The protocol of callers and back ends.
     pub protocol: P,
-    /// What the control thread knows.
+    /// The knowledge published by the control thread.
     pub knowledge: SharedKnowledge,
-    /// What this node's callers ask of engines.
+    /// The demand of this node's callers on engines.
     pub demand: SharedDemand,
-    /// What this node's callers have used.
+    /// The usage of this node's callers.
     pub usage: SharedUsage,
-    /// When the configuration in force was last shown to be the newest.
+    /// When the configuration in force was last confirmed to be the newest.
     configuration_shown: SharedMoment,
-    /// The longest that a key may go on being taken after it was taken away; `None`: no node is bound to it.
-    revocation: Cell<Option<Duration>>,
+    /// The longest time for which a key may still be accepted after its revocation; `None`: no limit.
+    revocation_limit: Cell<Option<Duration>>,
     /// The node's clock.
     pub clock: Clock,
     /// Connections to back ends.
     pub pool: ConnectionPool,
-    /// What is under way at back ends, and how they answer.
+    /// The requests in flight at each back end, and the health of its answers.
     pub loads: BackEndLoads,
-    /// What back ends have said of themselves in answers.
+    /// The notices about themselves that back ends have sent with answers.
     pub notices: SharedNotices,
-    /// Runs that back ends broke off.
+    /// Runs that back ends interrupted.
     pub broken_runs: BrokenRuns,
-    /// The prompts that are read now, and where shared parts are kept.
+    /// The prefills in progress, and the engines that cache shared prompt parts.
     pub peer_notices: PeerNotices,
-    /// How long short prompts took, by where they were read.
-    pub short_reading: Cell<ShortPrefill>,
-    /// The late prompts that wait to be read.
-    late_readings: RefCell<LatePrefills>,
+    /// How long requests with short prompts took, by where the prompt was prefilled.
+    pub short_prefill: Cell<ShortPrefill>,
+    /// The late prompts that wait for their prefill.
+    late_prefills: RefCell<LatePrefills>,
     /// Counters and histograms.
     pub metrics: RelayMetrics,
-    /// Requests that are open now.
+    /// The number of open requests.
     pub active: ActiveRequests,
-    /// Whether the node is in a planned stop: answers then tell that their connection closes.
+    /// Whether the node is in a planned stop: answers then carry `Connection: close`.
     pub leaving: Cell<bool>,
     budgets: RefCell<HashMap<ServiceName, SharedRetryBudget>>,
     budget_config: Cell<SharedRetryBudgetConfig>,
@@ -67,7 +67,7 @@
 }
 
 impl<P> Traffic<P> {
-    /// What a node shares that has just started.
+    /// The state of a node that has just started.
     pub fn new(
         protocol: P,
         shared: SharedWithTraffic,
@@ -86,14 +86,14 @@
             loads: BackEndLoads::default(),
             notices,
             peer_notices,
-            short_reading: Cell::default(),
-            late_readings: RefCell::default(),
+            short_prefill: Cell::default(),
+            late_prefills: RefCell::default(),
             placement: Cell::new(placement),
             knowledge,
             demand,
             usage,
             configuration_shown,
-            revocation: Cell::default(),
+            revocation_limit: Cell::default(),
             metrics,
             active: ActiveRequests::default(),
             leaving: Cell::new(false),
@@ -114,7 +114,7 @@
         change(budget)
     }
 
-    /// Changes the limits of repeats. What was spent under the former ones is not forgotten.
+    /// Changes the limits of retries. What was spent under the previous limits still counts.
     pub fn set_budget_config(&self, config: SharedRetryBudgetConfig) {
         self.budget_config.set(config);
         for budget in self.budgets.borrow_mut().values_mut() {
@@ -122,94 +122,97 @@
         }
     }
 
-    /// What the placement of requests weighs now.
+    /// The current settings of placement.
     pub fn placement(&self) -> PlacementConfig {
         self.placement.get()
     }
 
-    /// Changes what placement weighs, for requests that are placed from now on.
+    /// Changes the settings of placement for requests that are placed from now on.
     pub fn set_placement(&self, placement: PlacementConfig) {
         self.placement.set(placement);
     }
 
-    /// Binds the node to refuse what needs a key while it can't show that its keys are newer than this.
-    pub fn set_revocation(&self, revocation: Option<Duration>) {
-        self.revocation.set(revocation);
+    /// Sets the maximum age of the node's keys. Requests that need a key are refused while the node can't prove that
+    /// its keys are newer.
+    pub fn set_revocation(&self, limit: Option<Duration>) {
+        self.revocation_limit.set(limit);
     }
 
-    /// Whether keys may be gone by: the node is not bound to show that they are new, or can.
-    pub fn may_go_by_keys(&self) -> bool {
+    /// Whether keys may be checked: no maximum age is set, or the keys are newer.
+    pub fn may_use_keys(&self) -> bool {
         let is_new = |limit| self.configuration_shown.get().is_some_and(|at| self.clock.now().since(at) < limit);
-        self.revocation.get().is_none_or(is_new)
+        self.revocation_limit.get().is_none_or(is_new)
     }
 
-    /// The repeats that are left for each service.
+    /// The retries left in the budget of each service.
     pub fn repeats_left(&self) -> Vec<(ServiceName, f64)> {
         let now = self.clock.now();
         let budgets = self.budgets.borrow();
         budgets.iter().map(|(service, budget)| (service.clone(), budget.left(now))).collect()
     }
 
-    /// Times a request with a short prompt from now until its answer begins, or until it is given up.
-    pub fn time_short_prompt(&self, apart: bool) -> ShortPromptTimer<'_, P> {
-        ShortPromptTimer { traffic: self, apart, began: self.clock.now() }
+    /// Times a request with a short prompt from now until its answer begins or it is given up. `prefilled_apart` tells
+    /// whether a separate engine prefills the prompt.
+    pub fn time_short_prompt(&self, prefilled_apart: bool) -> ShortPromptTimer<'_, P> {
+        ShortPromptTimer { traffic: self, prefilled_apart, began: self.clock.now() }
     }
 
-    /// By how much more than expected late prompts take to be read.
+    /// By which factor the prefill of late prompts takes longer than expected.
     pub fn late_stretch(&self) -> f64 {
-        self.late_readings.borrow().stretch(self.clock.now())
+        self.late_prefills.borrow().stretch(self.clock.now())
     }
 
-    /// Times a late prompt from now until it was read, or until the timer is dropped because it was given up.
-    pub fn time_late_reading(&self, expected: Duration) -> LatePrefillTimer<'_, P> {
-        let id = self.late_readings.borrow_mut().begin(expected, self.clock.now());
-        LatePrefillTimer { traffic: self, id, is_read: false }
+    /// Times a late prompt from now until its prefill ends, or until the timer is dropped because the request was given
+    /// up.
+    pub fn time_late_prefill(&self, expected: Duration) -> LatePrefillTimer<'_, P> {
+        let id = self.late_prefills.borrow_mut().begin(expected, self.clock.now());
+        LatePrefillTimer { traffic: self, id, is_prefilled: false }
     }
 
-    /// Calls `choose` with the turns of split routes.
+    /// Calls `choose` with the state that spreads split routes over their services.
     pub fn with_splits<T>(&self, choose: impl FnOnce(&mut SplitTurns) -> T) -> T {
         choose(&mut self.splits.borrow_mut())
     }
 
-    /// Calls `choose` with the node's source of randomness.
+    /// Calls `choose` with the node's random number generator.
     pub fn with_random<T>(&self, choose: impl FnOnce(&mut fastrand::Rng) -> T) -> T {
         choose(&mut self.random.borrow_mut())
     }
 }
 
-/// Notes how long a request with a short prompt took when it is dropped: a caller that hung up has waited as well.
+/// Records on drop how long a request with a short prompt took. This also counts callers that hung up.
 pub struct ShortPromptTimer<'t, P> {
     traffic: &'t Traffic<P>,
-    apart: bool,
+    prefilled_apart: bool,
     began: Timestamp,
 }
 
 impl<P> Drop for ShortPromptTimer<'_, P> {
     fn drop(&mut self) {
-        let mut short_reading = self.traffic.short_reading.get();
-        short_reading.observe(self.apart, self.traffic.clock.now().since(self.began));
-        self.traffic.short_reading.set(short_reading);
+        let mut short_prefill = self.traffic.short_prefill.get();
+        short_prefill.observe(self.prefilled_apart, self.traffic.clock.now().since(self.began));
+        self.traffic.short_prefill.set(short_prefill);
     }
 }
 
-/// Times a late prompt.
+/// Times the prefill of a late prompt.
 pub struct LatePrefillTimer<'t, P> {
     traffic: &'t Traffic<P>,
     id: LatePrefillId,
-    is_read: bool,
+    is_prefilled: bool,
 }
 
 impl<P> LatePrefillTimer<'_, P> {
-    /// Notes that the prompt was read.
+    /// Records that the prefill is complete.
     pub fn end(mut self) {
-        self.is_read = true;
+        self.is_prefilled = true;
     }
 }
 
 impl<P> Drop for LatePrefillTimer<'_, P> {
     fn drop(&mut self) {
         let now = self.traffic.clock.now();
-        self.traffic.late_readings.borrow_mut().end(self.id, self.is_read, now);
+        self.traffic.late_prefills.borrow_mut().end(self.id, self.is_prefilled, now);
     }
 }
 
@@ -220,7 +223,7 @@
 }
 
 impl ActiveRequests {
-    /// Requests that are open now.
+    /// The number of open requests.
     pub fn count(&self) -> usize {
         self.count.get()
     }
