--- a/crates/relay/src/back_ends/send.rs
+++ b/crates/relay/src/back_ends/send.rs
@@ -130,7 +130,7 @@
     if let Some(seconds) = keep_alive_seconds(answer.headers()) {
         lease.apply_keep_alive(seconds);
     }
-    let judgement = protocol.judge(&request.head.id, answer.status(), answer.headers());
+    let judgement = protocol.classify_answer(&request.head.id, answer.status(), answer.headers());
     let notice = protocol.read_notice(&request.head.id, answer.status(), answer.headers());
     Ok(AnswerInProgress { response: answer, judgement, notice, lease, in_flight, run })
 }
@@ -152,11 +152,11 @@
         back_end,
         deadline,
         stage: request.stage,
-        keeper: request.cache_peer,
+        cache_peer: request.cache_peer,
         urgency: request.urgency,
         tenant: request.tenant,
     };
-    protocol.dress(outgoing.headers_mut(), &facts);
+    protocol.rewrite_headers(outgoing.headers_mut(), &facts);
     Ok(outgoing)
 }
 
--- a/crates/relay/src/broken_runs.rs
+++ b/crates/relay/src/broken_runs.rs
@@ -82,7 +82,7 @@
     }
 
     /// Notes that a run was broken off, and looks once for all of one moment whether the back end has ended.
-    fn broke_off(&self, run: &Rc<BegunRun>) {
+    fn record_interruption(&self, run: &Rc<BegunRun>) {
         let broken = BrokenRun { run: Rc::clone(run), broken_at: self.shared.clock.now() };
         let mut open = self.shared.open.borrow_mut();
         let is_looked_into = open.contains_key(&run.back_end.id);
@@ -100,11 +100,11 @@
         let ran = runs.iter().map(|broken| &broken.run).filter(|run| run.sent_at < ended_at);
         let ran: Vec<TerminatedRun> =
             ran.map(|run| TerminatedRun { content: run.content, sent_at: run.sent_at }).collect();
-        self.shared.ends.note_ended(back_end, &ran, ended_at);
+        self.shared.ends.record_termination(back_end, &ran, ended_at);
     }
 
     /// Waits until it is known whether `back_end`, which broke a run off, has ended; not for long.
-    pub async fn wait_for_fate(&self, back_end: &BackEndId) {
+    pub async fn wait_for_liveness_check(&self, back_end: &BackEndId) {
         let is_open = || self.shared.open.borrow().contains_key(back_end);
         let settled = async {
             while is_open() {
@@ -163,14 +163,14 @@
 
 impl Run {
     /// Notes that the back end broke the run off.
-    pub fn broke_off(&self) {
-        self.runs.broke_off(&self.begun);
+    pub fn record_interruption(&self) {
+        self.runs.record_interruption(&self.begun);
     }
 
     /// Notes that the whole answer has come.
     pub fn completed(&self) {
         if !self.begun.is_reading {
-            self.runs.shared.ends.note_served(self.begun.content);
+            self.runs.shared.ends.record_served(self.begun.content);
         }
     }
 }
--- a/crates/relay/src/cache_survey.rs
+++ b/crates/relay/src/cache_survey.rs
@@ -78,12 +78,12 @@
 /// What `engine` keeps of long prompts' shared parts; `None` when it does not tell.
 async fn list<P: Protocol>(traffic: &Traffic<P>, engine: &BackEnd) -> Option<Vec<PromptPart>> {
     let connection = traffic.pool.lease(engine).await.ok()?;
-    let request = get_request(engine, traffic.protocol.kept_parts_path())?;
+    let request = get_request(engine, traffic.protocol.cached_parts_path())?;
     let (status, body) = connection.call(request, LIST_MAXIMUM_BYTES).await?;
     if status != StatusCode::OK {
         return None;
     }
-    let report = traffic.protocol.read_kept_parts(&body)?;
+    let report = traffic.protocol.read_cached_parts(&body)?;
     if !engine.id.may_be_life_of(report.started) {
         log::info!(event = "engine_is_another_life", back_end:% = engine.id, told_by = "kept_parts"; "");
         return None;
--- a/crates/relay/src/callers/exchange_driver.rs
+++ b/crates/relay/src/callers/exchange_driver.rs
@@ -181,7 +181,7 @@
     /// request; such a request is not sent again earlier. Other requests don't wait.
     pub(super) async fn wait_for_termination_check(&self, back_end: &BackEndId) {
         if self.traffic.peer_notices.engine_terminations().is_suspect(self.request.content) {
-            self.traffic.broken_runs.wait_for_fate(back_end).await;
+            self.traffic.broken_runs.wait_for_liveness_check(back_end).await;
         }
     }
 
@@ -305,7 +305,7 @@
             Err(_) => return Attempt::TimedOut,
             Ok(Err(error)) => {
                 if !is_unacknowledged(&error) {
-                    run.broke_off();
+                    run.record_interruption();
                 }
                 self.traffic.loads.failed(&back_end.id, self.traffic.clock.now());
                 return Attempt::Ended(SendOutcome::Lost, None);
--- a/crates/relay/src/callers/send_step.rs
+++ b/crates/relay/src/callers/send_step.rs
@@ -53,7 +53,7 @@
     let run = traffic.broken_runs.begin(back_end, request.content, request.head.id_text(), is_prefill);
     let result = send(&traffic.protocol, &traffic.pool, back_end, &sent, in_flight, run.clone()).await;
     if let Err(SendFailure::Lost(_)) = &result {
-        run.broke_off();
+        run.record_interruption();
     }
     match &result {
         Ok(answer) => {
@@ -239,7 +239,7 @@
     drop(in_flight);
     let is_interruption = |error: &hyper::Error| !is_unacknowledged(error);
     if matches!(&collected, Ok(Err(error)) if error.downcast_ref().is_some_and(is_interruption)) {
-        run.broke_off();
+        run.record_interruption();
     }
     let Ok(Ok(collected)) = collected else {
         traffic.loads.failed(&back_end.id, traffic.clock.now());
--- a/crates/relay/src/callers/stream_body.rs
+++ b/crates/relay/src/callers/stream_body.rs
@@ -77,7 +77,7 @@
                 Poll::Ready(Some(Ok(_))) => {}
                 Poll::Ready(Some(Err(error))) => {
                     if !is_unacknowledged(&error) {
-                        body.run.broke_off();
+                        body.run.record_interruption();
                     }
                     return body.interrupt("back_end_broke_off");
                 }
--- a/crates/relay/src/callers/traffic.rs
+++ b/crates/relay/src/callers/traffic.rs
@@ -18,7 +18,7 @@
 use crate::broken_runs::BrokenRuns;
 use crate::control::SharedWithTraffic;
 use crate::demand::SharedDemand;
-use crate::knowledge::{SharedKnowledge, SharedMoment};
+use crate::knowledge::{SharedKnowledge, SharedTimestamp};
 use crate::metrics::RelayMetrics;
 use crate::peer_notices::PeerNotices;
 use crate::usage::SharedUsage;
@@ -34,7 +34,7 @@
     /// The usage of this node's callers.
     pub usage: SharedUsage,
     /// When the configuration in force was last confirmed to be the newest.
-    configuration_shown: SharedMoment,
+    configuration_current_at: SharedTimestamp,
     /// The longest time for which a key may still be accepted after its revocation; `None`: no limit.
     revocation_limit: Cell<Option<Duration>>,
     /// The node's clock.
@@ -74,7 +74,7 @@
         budget_config: SharedRetryBudgetConfig,
         placement: PlacementConfig,
     ) -> Self {
-        let SharedWithTraffic { knowledge, demand, usage, configuration_shown, notices, clock, metrics } = shared;
+        let SharedWithTraffic { knowledge, demand, usage, configuration_current_at, notices, clock, metrics } = shared;
         let pool = ConnectionPool::new(PoolLimits::default());
         let peer_notices = PeerNotices::new(Arc::clone(&knowledge), notices.clone(), clock, metrics.clone());
         let engine_ends = peer_notices.engine_terminations().clone();
@@ -92,7 +92,7 @@
             knowledge,
             demand,
             usage,
-            configuration_shown,
+            configuration_current_at,
             revocation_limit: Cell::default(),
             metrics,
             active: ActiveRequests::default(),
@@ -140,7 +140,7 @@
 
     /// Whether keys may be checked: no maximum age is set, or the keys are newer.
     pub fn may_use_keys(&self) -> bool {
-        let is_new = |limit| self.configuration_shown.get().is_some_and(|at| self.clock.now().since(at) < limit);
+        let is_new = |limit| self.configuration_current_at.get().is_some_and(|at| self.clock.now().since(at) < limit);
         self.revocation_limit.get().is_none_or(is_new)
     }
 
--- a/crates/relay/src/control/block_keeper.rs
+++ b/crates/relay/src/control/block_keeper.rs
@@ -37,7 +37,7 @@
         /// The request.
         content: ContentId,
         /// The engines that terminated while running it.
-        ends: Vec<ReportedTermination>,
+        terminations: Vec<ReportedTermination>,
     },
     /// The request was blocked, and has now been answered in full.
     Cleared(ContentId),
@@ -93,8 +93,8 @@
     loop {
         tokio::select! {
             update = link.updates.recv() => match update {
-                Some(BlockUpdate::Blocked { content, ends }) => {
-                    let record = BlockRecord { content, written_millis: unix_millis(), ends };
+                Some(BlockUpdate::Blocked { content, terminations }) => {
+                    let record = BlockRecord { content, written_millis: unix_millis(), terminations };
                     keeper.write(content, Some(record)).await;
                 }
                 Some(BlockUpdate::Cleared(content)) => keeper.write(content, None).await,
@@ -126,7 +126,7 @@
     async fn write(&mut self, content: ContentId, record: Option<BlockRecord>) {
         match &record {
             Some(record) => {
-                call_with_retries(&self.metrics, "block_write", async || self.store.keep_block(record).await).await;
+                call_with_retries(&self.metrics, "block_write", async || self.store.write_block(record).await).await;
             }
             None => {
                 call_with_retries(&self.metrics, "block_remove", async || self.store.remove_block(content).await).await;
@@ -178,7 +178,7 @@
     let age_micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
     let aged =
         |end: ReportedTermination| ReportedTermination { age_micros: end.age_micros.saturating_add(age_micros), ..end };
-    TerminationNotice { sender, ends: record.ends.into_iter().map(aged).collect(), served: Vec::new() }
+    TerminationNotice { sender, ends: record.terminations.into_iter().map(aged).collect(), served: Vec::new() }
 }
 
 /// The wall-clock time. A clock error of a few seconds lengthens or shortens a block by as much.
--- a/crates/relay/src/control/duties/fleet_duty.rs
+++ b/crates/relay/src/control/duties/fleet_duty.rs
@@ -20,7 +20,7 @@
 use super::pacing::Pacing;
 use crate::knowledge::Knowledge;
 use crate::metrics::RelayMetrics;
-use crate::protocol::{ControlStore, DutyReceiver, DutyRight, StoreError, WriteEnd};
+use crate::protocol::{ControlStore, DutyReceiver, DutyRight, StoreError, WriteOutcome};
 
 /// Engines are ordered only on a directory that was confirmed within this time.
 const DIRECTORY_AGE_MAXIMUM: Duration = Duration::from_secs(2);
@@ -172,10 +172,10 @@
                         (proposed.engines, "the present number of engines becomes the size of the service");
                     log::error!(event = "fleet_size_spoiled", service:% = service, engines, consequence; "");
                 }
-                match self.store.keep_baseline(service, proposed, stored.version).await {
-                    Ok(WriteEnd::Written(_)) => proposed,
+                match self.store.write_baseline(service, proposed, stored.version).await {
+                    Ok(WriteOutcome::Written(_)) => proposed,
                     // Another node has stored a size in the meantime, which is read in the next step.
-                    Ok(WriteEnd::Conflict) => return None,
+                    Ok(WriteOutcome::Conflict) => return None,
                     Err(error) => return self.failed("fleet_write", &error),
                 }
             }
--- a/crates/relay/src/control/duties/lease_keeper.rs
+++ b/crates/relay/src/control/duties/lease_keeper.rs
@@ -10,7 +10,7 @@
 use super::pacing::Pacing;
 use crate::control::learner::Learner;
 use crate::metrics::RelayMetrics;
-use crate::protocol::{ControlStore, StoreError, WriteEnd};
+use crate::protocol::{ControlStore, StoreError, WriteOutcome};
 
 /// Maximum number of calls in one attempt: a read, and the write that follows from it.
 const CALLS_MAXIMUM: usize = 2;
@@ -114,7 +114,7 @@
     async fn write(&mut self, write: LeaseWrite) -> Option<()> {
         let sent = self.clock.now();
         match self.store.write_lease(&write).await {
-            Ok(WriteEnd::Written(revision)) => {
+            Ok(WriteOutcome::Written(revision)) => {
                 self.metrics.record_store_call("lease_write", "ok");
                 self.pacing.succeeded();
                 let (term, renewal, expected) = (write.record.term.0, write.record.renewal, write.expected);
@@ -125,7 +125,7 @@
                 }
                 Some(())
             }
-            Ok(WriteEnd::Conflict) => {
+            Ok(WriteOutcome::Conflict) => {
                 self.metrics.record_store_call("lease_write", "conflict");
                 log::info!(event = "duty_lease_conflict", term = write.record.term.0; "");
                 self.lease.require_reread();
--- a/crates/relay/src/control/duties/usage_duty.rs
+++ b/crates/relay/src/control/duties/usage_duty.rs
@@ -22,7 +22,7 @@
 use crate::control::learner::Learner;
 use crate::control::peers::PeerExchange;
 use crate::metrics::RelayMetrics;
-use crate::protocol::{ControlStore, DutyReceiver, DutyRight, StoreError, WriteEnd};
+use crate::protocol::{ControlStore, DutyReceiver, DutyRight, StoreError, WriteOutcome};
 use crate::usage::SharedUsage;
 
 /// Interval at which a node sends its counts. A node that is killed loses no more than the counts of this time.
@@ -223,12 +223,12 @@
 
     async fn write(&mut self, write: LedgerWrite) {
         match self.store.write_usage(&write).await {
-            Ok(WriteEnd::Written(revision)) => {
+            Ok(WriteOutcome::Written(revision)) => {
                 self.metrics.record_store_call("usage_write", "ok");
                 self.pacing.succeeded();
                 self.reports.written(write, revision);
             }
-            Ok(WriteEnd::Conflict) => {
+            Ok(WriteOutcome::Conflict) => {
                 self.metrics.record_store_call("usage_write", "conflict");
                 self.reports.require_reread();
             }
--- a/crates/relay/src/control/learner.rs
+++ b/crates/relay/src/control/learner.rs
@@ -22,7 +22,7 @@
 
 use super::announceable_updates::{AnnounceableUpdates, pack_changes};
 use super::observed_eras::ObservedEras;
-use crate::knowledge::{ActiveConfiguration, AnnouncedChange, Knowledge, SharedKnowledge, SharedMoment};
+use crate::knowledge::{ActiveConfiguration, AnnouncedChange, Knowledge, SharedKnowledge, SharedTimestamp};
 use crate::metrics::RelayMetrics;
 
 /// Where a piece of knowledge came from, for logs.
@@ -57,7 +57,7 @@
     /// The highest term under which stage changes were announced.
     stages_term: Rc<Cell<Term>>,
     knowledge: SharedKnowledge,
-    configuration_shown: SharedMoment,
+    configuration_current_at: SharedTimestamp,
     /// Counts updates and wakes the tasks that wait for one. A mere confirmation does not count: readers that feed each
     /// other would exchange it endlessly.
     updates: Rc<watch::Sender<u64>>,
@@ -69,7 +69,7 @@
     /// Creates a learner that publishes to `knowledge`.
     pub fn new(
         knowledge: SharedKnowledge,
-        configuration_shown: SharedMoment,
+        configuration_current_at: SharedTimestamp,
         clock: Clock,
         metrics: RelayMetrics,
     ) -> Self {
@@ -82,7 +82,7 @@
             observed_eras: Rc::new(ObservedEras::new()),
             stages_term: Rc::default(),
             knowledge,
-            configuration_shown,
+            configuration_current_at,
             updates: Rc::new(watch::Sender::new(0)),
             clock,
             metrics,
@@ -252,7 +252,7 @@
     /// Records that the active configuration was the newest at some moment at or after `current_at`.
     pub fn mark_configuration_current(&self, current_at: Timestamp) {
         if self.knowledge.load().configuration.is_some() {
-            self.configuration_shown.advance(current_at);
+            self.configuration_current_at.advance(current_at);
         }
     }
 
@@ -452,8 +452,8 @@
         }
         self.stages_term.set(term);
         let knowledge = self.knowledge.load_full();
-        let heard_at = self.clock.now();
-        let announced = engines.into_iter().map(|(engine, to)| (engine, AnnouncedChange { to, heard_at }));
+        let received_at = self.clock.now();
+        let announced = engines.into_iter().map(|(engine, to)| (engine, AnnouncedChange { to, received_at }));
         let changing: BTreeMap<BackEndId, AnnouncedChange> = announced.collect();
         if !changing.keys().eq(knowledge.changing.keys()) {
             let engines: Vec<&str> = changing.keys().map(BackEndId::as_str).collect();
@@ -487,7 +487,7 @@
             directory: self.directory.borrow().update_since(pull.directory),
             ages: KnowledgeAges {
                 configuration_millis: age(self.configuration_confirmed_at.get()),
-                configuration_shown_millis: age(self.configuration_shown.get()),
+                configuration_shown_millis: age(self.configuration_current_at.get()),
                 directory_millis: age(knowledge.directory_confirmed_at),
             },
             waited_millis: u32::try_from(waited.as_millis()).unwrap_or_default(),
--- a/crates/relay/src/control/stages/engine_orders.rs
+++ b/crates/relay/src/control/stages/engine_orders.rs
@@ -92,7 +92,7 @@
             return OrderAnswer::NotSent;
         }
         match timeout(order.time_limit, connection.call(request, ANSWER_MAXIMUM_BYTES)).await {
-            Ok(Some((status, _))) => self.protocol.judge_order(status),
+            Ok(Some((status, _))) => self.protocol.classify_order_answer(status),
             Ok(None) | Err(_) => OrderAnswer::Unknown,
         }
     }
--- a/crates/relay/src/control/thread.rs
+++ b/crates/relay/src/control/thread.rs
@@ -21,7 +21,7 @@
 use super::reader_role::ReaderRole;
 use crate::back_ends::SharedNotices;
 use crate::demand::SharedDemand;
-use crate::knowledge::{SharedKnowledge, SharedMoment};
+use crate::knowledge::{SharedKnowledge, SharedTimestamp};
 use crate::metrics::RelayMetrics;
 use crate::protocol::{ControlStore, DutyReceiver, Protocol};
 use crate::usage::SharedUsage;
@@ -51,7 +51,7 @@
     /// The usage of this node's callers.
     pub usage: SharedUsage,
     /// When the active configuration was last confirmed to be the newest.
-    pub configuration_shown: SharedMoment,
+    pub configuration_current_at: SharedTimestamp,
     /// The announcements of back ends in their answers.
     pub notices: SharedNotices,
     /// The node's clock.
@@ -89,9 +89,10 @@
     let body = move || {
         let tasks = LocalSet::new();
         tasks.block_on(&runtime, async move {
-            let SharedWithTraffic { knowledge, demand, usage, configuration_shown, notices, clock, metrics } = shared;
+            let SharedWithTraffic { knowledge, demand, usage, configuration_current_at, notices, clock, metrics } =
+                shared;
             let Platform { store, receiver } = platform;
-            let learner = Learner::new(knowledge, configuration_shown, clock, metrics.clone());
+            let learner = Learner::new(knowledge, configuration_current_at, clock, metrics.clone());
             let readers = Readers::new(ReadersConfig::default(), settings.peers_address);
             let role = ReaderRole::new(readers, clock);
             match bind(&settings, role.clone(), learner.clone(), metrics.clone()).await {
--- a/crates/relay/src/engine_ends.rs
+++ b/crates/relay/src/engine_ends.rs
@@ -25,7 +25,7 @@
     clock: Clock,
     metrics: RelayMetrics,
     /// Wakes the task that tells peers.
-    news: Notify,
+    updates: Notify,
     /// Requests that ran at an engine for this node when it ended; the newest of them.
     own: RefCell<VecDeque<ContentId>>,
     /// Takes what the store is to keep, once the node is at work.
@@ -43,7 +43,7 @@
                 ends: RefCell::default(),
                 clock,
                 metrics,
-                news: Notify::new(),
+                updates: Notify::new(),
                 own: RefCell::default(),
                 store: RefCell::default(),
             }),
@@ -51,13 +51,13 @@
     }
 
     /// Notes that `back_end` ended at `at` while it did `runs` for this node; peers are told.
-    pub fn note_ended(&self, back_end: &BackEndId, runs: &[TerminatedRun], at: Timestamp) {
+    pub fn record_termination(&self, back_end: &BackEndId, runs: &[TerminatedRun], at: Timestamp) {
         let age_ms = whole_millis(self.shared.clock.now().since(at));
         log::warn!(event = "engine_ended", back_end:% = back_end, runs = runs.len(), age_ms; "");
         self.remember_own(runs);
         let blamed = self.shared.ends.borrow_mut().note_ended(back_end.into(), runs, at);
-        self.note_blamed(&blamed, "own_run");
-        self.shared.news.notify_one();
+        self.record_attributions(&blamed, "own_run");
+        self.shared.updates.notify_one();
     }
 
     /// Takes in what a peer tells.
@@ -67,23 +67,23 @@
 
     fn take_in(&self, notice: &TerminationNotice, source: &'static str) {
         let blamed = self.shared.ends.borrow_mut().receive(notice, self.shared.clock.now());
-        self.note_blamed(&blamed, source);
+        self.record_attributions(&blamed, source);
         // The sender may not have heard of an answer that cleared what it tells of.
-        self.shared.news.notify_one();
+        self.shared.updates.notify_one();
     }
 
     /// Notes that a request was answered whole; peers are told if an engine had ended under it.
-    pub fn note_served(&self, content: ContentId) {
+    pub fn record_served(&self, content: ContentId) {
         let was_blamed = self.shared.ends.borrow().is_blamed(content);
         let served = self.shared.ends.borrow_mut().note_served(content, self.shared.clock.now());
         if let Some(blamed) = served {
             if was_blamed {
-                self.tell_store(BlockUpdate::Cleared(content));
+                self.send_to_store(BlockUpdate::Cleared(content));
             }
-            self.note_blamed(&blamed, "another_served");
+            self.record_attributions(&blamed, "another_served");
             log::info!(event = "suspect_served", content:% = content; "");
             self.shared.metrics.record_suspect("served");
-            self.shared.news.notify_one();
+            self.shared.updates.notify_one();
         }
     }
 
@@ -109,14 +109,14 @@
     }
 
     /// Whether peers are still to be told of something.
-    pub fn has_untold(&self) -> bool {
+    pub fn has_unannounced(&self) -> bool {
         self.shared.ends.borrow().has_untold()
     }
 
     /// Waits until peers are to be told of something.
-    pub async fn wait_for_news(&self) {
-        while !self.has_untold() {
-            self.shared.news.notified().await;
+    pub async fn wait_for_updates(&self) {
+        while !self.has_unannounced() {
+            self.shared.updates.notified().await;
         }
     }
 
@@ -126,18 +126,18 @@
     }
 
     /// What a node that has just started is told.
-    pub fn known_blame(&self, sender: Address) -> Option<TerminationNotice> {
+    pub fn known_attributions(&self, sender: Address) -> Option<TerminationNotice> {
         self.shared.ends.borrow().known_blame(sender, self.shared.clock.now())
     }
 
     /// Forgets what no longer counts.
     pub fn tidy(&self) {
         let blamed = self.shared.ends.borrow_mut().tidy(self.shared.clock.now());
-        self.note_blamed(&blamed, "another_forgotten");
+        self.record_attributions(&blamed, "another_forgotten");
     }
 
     /// Takes in for ever what the store has kept, and has it keep what this node finds out.
-    pub async fn keep_in_store(self, mut link: BlockStoreLink) {
+    pub async fn sync_with_store(self, mut link: BlockStoreLink) {
         *self.shared.store.borrow_mut() = Some(link.updates);
         while let Some(notice) = link.stored.recv().await {
             self.take_in(&notice, "store");
@@ -151,23 +151,23 @@
         own.drain(..beyond);
     }
 
-    fn tell_store(&self, news: BlockUpdate) {
+    fn send_to_store(&self, updates: BlockUpdate) {
         let store = self.shared.store.borrow();
-        if let Some(Err(error)) = store.as_ref().map(|store| store.try_send(news)) {
+        if let Some(Err(error)) = store.as_ref().map(|store| store.try_send(updates)) {
             log::warn!(event = "block_not_kept", error:% = error; "");
         }
     }
 
-    fn note_blamed(&self, blamed: &[Attribution], source: &'static str) {
+    fn record_attributions(&self, blamed: &[Attribution], source: &'static str) {
         for Attribution { content, ends, last } in blamed {
             let block_ms = self.blocked_for(*content).map_or(0, whole_millis);
             let last_end_age_ms = whole_millis(self.shared.clock.now().since(*last));
             log::warn!(event = "content_blocked", content:% = content, ends, last_end_age_ms, block_ms, source; "");
             self.shared.metrics.record_suspect("blocked");
             let is_own = self.shared.own.borrow().contains(content);
-            let ends = self.shared.ends.borrow().blamed_ends(*content, self.shared.clock.now());
-            if let (true, Some(ends)) = (is_own, ends) {
-                self.tell_store(BlockUpdate::Blocked { content: *content, ends });
+            let terminations = self.shared.ends.borrow().blamed_ends(*content, self.shared.clock.now());
+            if let (true, Some(terminations)) = (is_own, terminations) {
+                self.send_to_store(BlockUpdate::Blocked { content: *content, terminations });
             }
         }
     }
--- a/crates/relay/src/knowledge.rs
+++ b/crates/relay/src/knowledge.rs
@@ -44,7 +44,7 @@
     /// The stage that the engine is to serve.
     pub to: EngineStage,
     /// When it was last heard of.
-    pub heard_at: Timestamp,
+    pub received_at: Timestamp,
 }
 
 /// What a node knows at one moment.
@@ -89,7 +89,7 @@
     pub fn is_changing(&self, back_end: &BackEnd, now: Timestamp) -> bool {
         let announced = self.changing.get(&back_end.id);
         announced
-            .is_some_and(|change| back_end.stage != Some(change.to) && now.since(change.heard_at) < CHANGE_FORGOTTEN)
+            .is_some_and(|change| back_end.stage != Some(change.to) && now.since(change.received_at) < CHANGE_FORGOTTEN)
     }
 
     /// Whether the node can serve: it has a configuration and knows the back ends.
@@ -102,12 +102,12 @@
 ///
 /// Unlike other ages it is never too young: what was on its way counts as if nothing had been known meanwhile.
 #[derive(Clone, Debug, Default)]
-pub struct SharedMoment {
+pub struct SharedTimestamp {
     /// In microseconds of the process's clock; 0: never.
     micros: Arc<AtomicU64>,
 }
 
-impl SharedMoment {
+impl SharedTimestamp {
     /// The moment; `None`: it never was.
     pub fn get(&self) -> Option<Timestamp> {
         let micros = self.micros.load(Ordering::Relaxed);
--- a/crates/relay/src/peer_notices/announcements.rs
+++ b/crates/relay/src/peer_notices/announcements.rs
@@ -110,7 +110,7 @@
     /// Announces engines that terminated while running requests to all peers; never returns.
     pub(super) async fn announce_terminations(self) {
         loop {
-            self.shared.engine_terminations.wait_for_news().await;
+            self.shared.engine_terminations.wait_for_updates().await;
             if let Some(notice) = self.sender().and_then(|sender| self.shared.engine_terminations.notice(sender)) {
                 let peers = Arc::clone(&self.shared.knowledge.load().peers);
                 self.send(&PeerNotice::Ends(notice), NodeMessageKind::Terminations, &peers).await;
@@ -140,7 +140,7 @@
 
     /// Sends a node the requests that engine terminations are attributed to.
     async fn send_attributions(&self, receiver: Address) {
-        let notice = self.sender().and_then(|sender| self.shared.engine_terminations.known_blame(sender));
+        let notice = self.sender().and_then(|sender| self.shared.engine_terminations.known_attributions(sender));
         if let Some(notice) = notice {
             self.send(&PeerNotice::Ends(notice), NodeMessageKind::Terminations, &[receiver]).await;
         }
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -29,7 +29,7 @@
 use crate::callers::{CallerServer, LAST_CONNECTIONS_PATIENCE, ServerPhase, Traffic, listen};
 use crate::control::{BlockStoreLink, ControlSettings, DutySettings, Platform, SharedWithTraffic, block_links, spawn};
 use crate::demand::SharedDemand;
-use crate::knowledge::{Knowledge, SharedKnowledge, SharedMoment};
+use crate::knowledge::{Knowledge, SharedKnowledge, SharedTimestamp};
 use crate::metrics::{NodeMessageKind, NodeState, RelayMetrics};
 use crate::protocol::{ControlStore, DutyReceiver, Protocol};
 use crate::settings::{RelaySettings, RelaySettingsError};
@@ -88,7 +88,7 @@
         knowledge: Arc::clone(&knowledge),
         demand: demand.clone(),
         usage: usage.clone(),
-        configuration_shown: SharedMoment::default(),
+        configuration_current_at: SharedTimestamp::default(),
         notices: SharedNotices::default(),
         clock,
         metrics: metrics.clone(),
@@ -138,7 +138,7 @@
         let mut reload_signal = signal(SignalKind::hangup())?;
         let server = CallerServer::bind(settings.callers_address.0)?;
         traffic.peer_notices.exchange(settings.notices_address).await?;
-        tokio::task::spawn_local(traffic.peer_notices.engine_terminations().clone().keep_in_store(blocks));
+        tokio::task::spawn_local(traffic.peer_notices.engine_terminations().clone().sync_with_store(blocks));
         tokio::task::spawn_local(survey(Rc::clone(&traffic)));
         serve_side(settings.readiness_address, Rc::clone(&traffic), readiness::<P>)?;
         if let Some(address) = settings.metrics_address {
--- a/crates/relay/src/protocol.rs
+++ b/crates/relay/src/protocol.rs
@@ -69,7 +69,7 @@
     /// The part that is sent.
     pub stage: &'a SendStage,
     /// An engine that keeps a part of the prompt, from which the back end may take it instead of reading it.
-    pub keeper: Option<Address>,
+    pub cache_peer: Option<Address>,
     /// Who goes first; `None` where the back end is not told.
     pub urgency: Option<EngineUrgency>,
     /// Whose request it is; `None`: nobody's in particular.
@@ -149,19 +149,19 @@
     fn take_key(&self, headers: &mut HeaderMap) -> PresentedKey;
 
     /// Makes a caller's headers those of a request to a back end. Headers that concern only one connection are gone.
-    fn dress(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
 
     /// Judges the head of an answer to the request called `id`.
-    fn judge(&self, id: &HeaderValue, status: hyper::StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn classify_answer(&self, id: &HeaderValue, status: hyper::StatusCode, headers: &HeaderMap) -> AnswerHead;
 
     /// What an answer to the request called `id` says of the back end that gave it; nothing where it is another one's.
     fn read_notice(&self, id: &HeaderValue, status: hyper::StatusCode, headers: &HeaderMap) -> BackEndNotice;
 
     /// The path at which an engine tells what its cache keeps.
-    fn kept_parts_path(&self) -> &'static str;
+    fn cached_parts_path(&self) -> &'static str;
 
     /// Reads what an engine's cache keeps out of its answer; `None` when that can't be understood.
-    fn read_kept_parts(&self, body: &[u8]) -> Option<CacheReport>;
+    fn read_cached_parts(&self, body: &[u8]) -> Option<CacheReport>;
 
     /// The path at which an engine tells of itself.
     fn report_path(&self) -> &'static str;
@@ -173,7 +173,7 @@
     fn stage_order(&self, facts: &StageOrderFacts<'_>) -> Option<hyper::Request<RequestBody>>;
 
     /// What the status of an engine's answer to an order means.
-    fn judge_order(&self, status: hyper::StatusCode) -> OrderAnswer;
+    fn classify_order_answer(&self, status: hyper::StatusCode) -> OrderAnswer;
 
     /// Reads the handle out of the answer to a prompt that was read.
     fn read_handle(&self, body: &[u8]) -> Option<String>;
@@ -240,12 +240,12 @@
     /// When it was written, in milliseconds since 1970 by the writer's time of day.
     pub written_millis: u64,
     /// The engines that ended under it; their ages are those at the time of writing.
-    pub ends: Vec<ReportedTermination>,
+    pub terminations: Vec<ReportedTermination>,
 }
 
 /// How a conditional write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// It took effect and made this revision.
     Written(Revision),
     /// It did not and will not take effect: the object is another by now.
@@ -271,31 +271,31 @@
     fn read_lease(&mut self) -> impl Future<Output = Result<LeaseRead, StoreError>>;
 
     /// Writes the lease if it still is what the write replaces. Any error leaves open whether it takes effect.
-    fn write_lease(&mut self, write: &LeaseWrite) -> impl Future<Output = Result<WriteEnd, StoreError>>;
+    fn write_lease(&mut self, write: &LeaseWrite) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
     /// Reads the reports of usage that are kept.
     fn read_usage(&mut self) -> impl Future<Output = Result<LedgerRead, StoreError>>;
 
     /// Keeps reports of usage if the ledger still is what the write replaces. Any error leaves open whether it takes effect.
-    fn write_usage(&mut self, write: &LedgerWrite) -> impl Future<Output = Result<WriteEnd, StoreError>>;
+    fn write_usage(&mut self, write: &LedgerWrite) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
     /// Reads what a service was sized for before any of its engines was ordered.
     fn read_baseline(&mut self, service: &ServiceName) -> impl Future<Output = Result<BaselineRead, StoreError>>;
 
     /// Keeps what a service was sized for, if what is kept still is `expected`.
     /// Any error leaves open whether it takes effect.
-    fn keep_baseline(
+    fn write_baseline(
         &mut self,
         service: &ServiceName,
         baseline: FleetBaseline,
         expected: ObjectVersion,
-    ) -> impl Future<Output = Result<WriteEnd, StoreError>>;
+    ) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
     /// Reads all requests that are blocked, as they were written.
     fn list_blocks(&mut self) -> impl Future<Output = Result<Vec<BlockRecord>, StoreError>>;
 
     /// Keeps a request that is blocked; does nothing where it is kept already.
-    fn keep_block(&mut self, record: &BlockRecord) -> impl Future<Output = Result<(), StoreError>>;
+    fn write_block(&mut self, record: &BlockRecord) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Removes a request that is no longer blocked, if it is kept.
     fn remove_block(&mut self, content: ContentId) -> impl Future<Output = Result<(), StoreError>>;
--- a/crates/relay/tests/learner.rs
+++ b/crates/relay/tests/learner.rs
@@ -11,24 +11,24 @@
 use havengate_core::world::{Address, BackEndId, BackEndName, StartMoment};
 use havengate_node::clock::Clock;
 use havengate_relay::control::{Learner, Source};
-use havengate_relay::knowledge::{Knowledge, SharedKnowledge, SharedMoment};
+use havengate_relay::knowledge::{Knowledge, SharedKnowledge, SharedTimestamp};
 use havengate_relay::metrics::RelayMetrics;
 
 struct Node {
     learner: Learner,
     knowledge: SharedKnowledge,
-    configuration_shown: SharedMoment,
+    configuration_current_at: SharedTimestamp,
     metrics: RelayMetrics,
 }
 
 impl Node {
     fn new() -> Self {
-        let (metrics, configuration_shown) = (RelayMetrics::new(), SharedMoment::default());
+        let (metrics, configuration_current_at) = (RelayMetrics::new(), SharedTimestamp::default());
         let knowledge: SharedKnowledge = Arc::new(ArcSwap::from_pointee(Knowledge::nothing()));
         // Ages are subtracted from the clock, so it must start well after zero.
         let clock = Clock::start_with_past(Duration::from_secs(100));
-        let learner = Learner::new(Arc::clone(&knowledge), configuration_shown.clone(), clock, metrics.clone());
-        Node { learner, knowledge, configuration_shown, metrics }
+        let learner = Learner::new(Arc::clone(&knowledge), configuration_current_at.clone(), clock, metrics.clone());
+        Node { learner, knowledge, configuration_current_at, metrics }
     }
 
     fn version(&self) -> u64 {
@@ -129,10 +129,10 @@
     let asked_at = second.learner.clock().now();
     let without_configuration = reader.learner.answer(second.learner.pull_of_directory(Duration::ZERO), Duration::ZERO);
     second.learner.apply_answer(without_configuration, asked_at);
-    assert_eq!((second.learner.configuration_confirmed_at(), second.configuration_shown.get()), (None, None));
+    assert_eq!((second.learner.configuration_confirmed_at(), second.configuration_current_at.get()), (None, None));
     assert_eq!(second.learner.configuration_position(), None);
     second.fetch_from(&reader);
-    assert!(second.learner.configuration_confirmed_at().is_some() && second.configuration_shown.get().is_some());
+    assert!(second.learner.configuration_confirmed_at().is_some() && second.configuration_current_at.get().is_some());
     assert_eq!(second.learner.configuration_position(), Some(Position::from(Revision(40))));
 }
 
--- a/crates/relay/tests/peer_notices.rs
+++ b/crates/relay/tests/peer_notices.rs
@@ -157,7 +157,7 @@
                 let sent_at = node.clock.now();
                 let runs = [TerminatedRun { content: popular_content, sent_at }];
                 let engine = BackEndId::new(format!("ended-{number}"));
-                node.peer_notices.engine_terminations().note_ended(&engine, &runs, node.clock.now());
+                node.peer_notices.engine_terminations().record_termination(&engine, &runs, node.clock.now());
             }
         };
         record_terminations(&here, 1);
@@ -165,12 +165,12 @@
         // Terminations are announced as ages, to which the delay of the message adds: the answer has to be clearly
         // later.
         sleep(20 * POLL_INTERVAL).await;
-        here.peer_notices.engine_terminations().note_served(popular_content);
+        here.peer_notices.engine_terminations().record_served(popular_content);
         assert_eq!(there.peer_notices.engine_terminations().blocked(), 1);
         // Both have sent all pending announcements, to no receiver, before they know each other.
         wait_until(|| {
-            !here.peer_notices.engine_terminations().has_untold()
-                && !there.peer_notices.engine_terminations().has_untold()
+            !here.peer_notices.engine_terminations().has_unannounced()
+                && !there.peer_notices.engine_terminations().has_unannounced()
         })
         .await;
         here.set_peers(&[&there]);
--- a/crates/relay/tests/store_eras.rs
+++ b/crates/relay/tests/store_eras.rs
@@ -12,14 +12,14 @@
 use havengate_core::world::Address;
 use havengate_node::clock::Clock;
 use havengate_relay::control::{Learner, Source};
-use havengate_relay::knowledge::{Knowledge, SharedMoment};
+use havengate_relay::knowledge::{Knowledge, SharedTimestamp};
 use havengate_relay::metrics::RelayMetrics;
 
 fn learner() -> Learner {
     let knowledge = Arc::new(ArcSwap::from_pointee(Knowledge::nothing()));
     // Ages are subtracted from the clock, so it must start well after zero.
     let clock = Clock::start_with_past(Duration::from_secs(100));
-    Learner::new(knowledge, SharedMoment::default(), clock, RelayMetrics::new())
+    Learner::new(knowledge, SharedTimestamp::default(), clock, RelayMetrics::new())
 }
 
 fn position(era: u64, revision: u64) -> Position {
