--- a/crates/relay/src/broken_runs.rs
+++ b/crates/relay/src/broken_runs.rs
@@ -1,4 +1,4 @@
-//! Runs of requests that back ends broke off, and whether those back ends have ended.
+//! Runs of requests that back terminations interrupted, and whether those back terminations have terminated.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,35 +17,37 @@
 use crate::engine_ends::SharedEngineTerminations;
 use crate::metrics::RelayMetrics;
 
-/// A process that ends closes its connections and its listener one after the other; a look in between would find it alive.
+/// A terminating process closes its connections and its listener one after the other. A check in between would find it
+/// alive.
 const CHECK_DELAY: Duration = Duration::from_millis(10);
 
-/// A request under which an engine has ended before waits no longer than this for the fate of the next one before it is sent on.
-const FATE_PATIENCE: Duration = Duration::from_millis(50);
+/// The longest that a request waits for the liveness check of an engine before it is sent on. A request waits only if an
+/// engine has already terminated while running it.
+const LIVENESS_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What has become of a back end that broke a run off.
+/// Whether a back end that interrupted a run still accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackEndFate {
+pub enum BackEndLiveness {
     /// Nothing listens at its address any more.
-    Ended,
-    /// It takes connections as before.
-    Lives,
-    /// Its machine can't be reached, so nobody knows.
+    Terminated,
+    /// It still accepts connections.
+    Alive,
+    /// Its machine can't be reached, so its state is unknown.
     Unknown,
 }
 
-impl BackEndFate {
-    /// The word in logs and metrics.
+impl BackEndLiveness {
+    /// The name in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
-            BackEndFate::Ended => "ended",
-            BackEndFate::Lives => "lives",
-            BackEndFate::Unknown => "unknown",
+            BackEndLiveness::Terminated => "ended",
+            BackEndLiveness::Alive => "lives",
+            BackEndLiveness::Unknown => "unknown",
         }
     }
 }
 
-/// The runs that back ends broke off. Copies share them.
+/// The runs that back terminations interrupted. Clones share the state.
 #[derive(Clone)]
 pub struct BrokenRuns {
     shared: Rc<Shared>,
@@ -53,91 +55,97 @@
 
 struct Shared {
     pool: ConnectionPool,
-    ends: SharedEngineTerminations,
+    terminations: SharedEngineTerminations,
     clock: Clock,
     metrics: RelayMetrics,
-    /// Wakes whoever waits for a fate.
-    settled: Notify,
-    /// The runs that each back end broke off whose fate is being looked into.
-    open: RefCell<HashMap<BackEndId, Vec<BrokenRun>>>,
+    /// Wakes the tasks that wait for a liveness check.
+    checked: Notify,
+    /// The interrupted runs of each back end whose liveness check is pending.
+    unchecked: RefCell<HashMap<BackEndId, Vec<BrokenRun>>>,
 }
 
 struct BrokenRun {
-    run: Rc<BegunRun>,
-    broken_at: Timestamp,
+    run: Rc<RunDetails>,
+    interrupted_at: Timestamp,
 }
 
 impl BrokenRuns {
-    /// No run was broken off yet.
-    pub fn new(pool: ConnectionPool, ends: SharedEngineTerminations, clock: Clock, metrics: RelayMetrics) -> Self {
-        let (settled, open) = (Notify::new(), RefCell::default());
-        BrokenRuns { shared: Rc::new(Shared { pool, ends, clock, metrics, settled, open }) }
+    /// Starts without interrupted runs.
+    pub fn new(
+        pool: ConnectionPool,
+        terminations: SharedEngineTerminations,
+        clock: Clock,
+        metrics: RelayMetrics,
+    ) -> Self {
+        let (checked, unchecked) = (Notify::new(), RefCell::default());
+        BrokenRuns { shared: Rc::new(Shared { pool, terminations, clock, metrics, checked, unchecked }) }
     }
 
-    /// Notes that `request` is about to be sent to `back_end`, to be run or only to have its prompt read.
-    pub fn begin(&self, back_end: &BackEnd, content: ContentId, request: &str, is_reading: bool) -> Run {
+    /// Records that `request` is about to be sent to `back_end`, either to be run or for the prefill alone.
+    pub fn begin(&self, back_end: &BackEnd, content: ContentId, request: &str, is_prefill: bool) -> Run {
         let sent_at = self.shared.clock.now();
-        let begun = BegunRun { back_end: back_end.clone(), content, request: request.to_owned(), is_reading, sent_at };
-        Run { runs: self.clone(), begun: Rc::new(begun) }
+        let details =
+            RunDetails { back_end: back_end.clone(), content, request: request.to_owned(), is_prefill, sent_at };
+        Run { runs: self.clone(), details: Rc::new(details) }
     }
 
-    /// Notes that a run was broken off, and looks once for all of one moment whether the back end has ended.
-    fn record_interruption(&self, run: &Rc<BegunRun>) {
-        let broken = BrokenRun { run: Rc::clone(run), broken_at: self.shared.clock.now() };
-        let mut open = self.shared.open.borrow_mut();
-        let is_looked_into = open.contains_key(&run.back_end.id);
-        open.entry(run.back_end.id.clone()).or_default().push(broken);
-        if !is_looked_into {
-            tokio::task::spawn_local(self.clone().look_into(run.back_end.clone()));
+    /// Records an interrupted run and starts a liveness check of its back end, unless one is pending.
+    fn record_interruption(&self, run: &Rc<RunDetails>) {
+        let broken = BrokenRun { run: Rc::clone(run), interrupted_at: self.shared.clock.now() };
+        let mut unchecked = self.shared.unchecked.borrow_mut();
+        let is_check_pending = unchecked.contains_key(&run.back_end.id);
+        unchecked.entry(run.back_end.id.clone()).or_default().push(broken);
+        if !is_check_pending {
+            tokio::task::spawn_local(self.clone().check_liveness(run.back_end.clone()));
         }
     }
 
-    /// Notes what ran at a back end when it ended. What was sent there later never began to run.
-    fn note_ended(&self, back_end: &BackEndId, runs: &[BrokenRun]) {
-        let Some(ended_at) = runs.iter().map(|run| run.broken_at).min() else {
+    /// Records what ran at a back end when it terminated. Requests that were sent there later never started.
+    fn record_termination(&self, back_end: &BackEndId, runs: &[BrokenRun]) {
+        let Some(terminated_at) = runs.iter().map(|run| run.interrupted_at).min() else {
             return;
         };
-        let ran = runs.iter().map(|broken| &broken.run).filter(|run| run.sent_at < ended_at);
+        let ran = runs.iter().map(|broken| &broken.run).filter(|run| run.sent_at < terminated_at);
         let ran: Vec<TerminatedRun> =
             ran.map(|run| TerminatedRun { content: run.content, sent_at: run.sent_at }).collect();
-        self.shared.ends.record_termination(back_end, &ran, ended_at);
+        self.shared.terminations.record_termination(back_end, &ran, terminated_at);
     }
 
-    /// Waits until it is known whether `back_end`, which broke a run off, has ended; not for long.
+    /// Waits for the pending liveness check of `back_end`, which interrupted a run, but no longer than a short timeout.
     pub async fn wait_for_liveness_check(&self, back_end: &BackEndId) {
-        let is_open = || self.shared.open.borrow().contains_key(back_end);
-        let settled = async {
-            while is_open() {
-                self.shared.settled.notified().await;
+        let is_pending = || self.shared.unchecked.borrow().contains_key(back_end);
+        let checked = async {
+            while is_pending() {
+                self.shared.checked.notified().await;
             }
         };
-        // What is not known by then is not waited for.
-        let _ = timeout(FATE_PATIENCE, settled).await;
+        // After the timeout the request goes on without the result.
+        let _ = timeout(LIVENESS_CHECK_TIMEOUT, checked).await;
     }
 
-    async fn look_into(self, back_end: BackEnd) {
+    async fn check_liveness(self, back_end: BackEnd) {
         sleep(CHECK_DELAY).await;
-        let fate = match self.shared.pool.check(&back_end).await {
-            Ok(()) => BackEndFate::Lives,
-            Err(ConnectError::Refused(_)) => BackEndFate::Ended,
-            Err(ConnectError::TimedOut | ConnectError::Failed(_)) => BackEndFate::Unknown,
+        let liveness = match self.shared.pool.check(&back_end).await {
+            Ok(()) => BackEndLiveness::Alive,
+            Err(ConnectError::Refused(_)) => BackEndLiveness::Terminated,
+            Err(ConnectError::TimedOut | ConnectError::Failed(_)) => BackEndLiveness::Unknown,
         };
-        let runs = self.shared.open.borrow_mut().remove(&back_end.id).unwrap_or_default();
-        self.shared.metrics.record_broken_runs(fate.code(), runs.len());
-        if fate == BackEndFate::Ended {
-            self.note_ended(&back_end.id, &runs);
+        let runs = self.shared.unchecked.borrow_mut().remove(&back_end.id).unwrap_or_default();
+        self.shared.metrics.record_broken_runs(liveness.code(), runs.len());
+        if liveness == BackEndLiveness::Terminated {
+            self.record_termination(&back_end.id, &runs);
         }
-        self.shared.settled.notify_waiters();
-        for BrokenRun { run, broken_at } in &runs {
+        self.shared.checked.notify_waiters();
+        for BrokenRun { run, interrupted_at } in &runs {
             let (request, content) = (run.request.as_str(), run.content);
-            let ran_ms = whole_millis(broken_at.since(run.sent_at));
+            let ran_ms = whole_millis(interrupted_at.since(run.sent_at));
             log::warn!(
                 event = "run_broken",
                 request,
                 content:% = content,
                 back_end:% = back_end.id,
-                fate = fate.code(),
-                is_reading = run.is_reading,
+                fate = liveness.code(),
+                is_reading = run.is_prefill,
                 ran_ms;
                 ""
             );
@@ -145,32 +153,32 @@
     }
 }
 
-/// A request's run at a back end. Copies are of the same run.
+/// A request's run at a back end. Clones refer to the same run.
 #[derive(Clone)]
 pub struct Run {
     runs: BrokenRuns,
-    begun: Rc<BegunRun>,
+    details: Rc<RunDetails>,
 }
 
-struct BegunRun {
+struct RunDetails {
     back_end: BackEnd,
     content: ContentId,
     request: String,
-    /// Whether only the prompt is read.
-    is_reading: bool,
+    /// Whether the back end runs only the prefill.
+    is_prefill: bool,
     sent_at: Timestamp,
 }
 
 impl Run {
-    /// Notes that the back end broke the run off.
+    /// Records that the back end interrupted the run.
     pub fn record_interruption(&self) {
-        self.runs.record_interruption(&self.begun);
+        self.runs.record_interruption(&self.details);
     }
 
-    /// Notes that the whole answer has come.
+    /// Records that the complete answer was received.
     pub fn completed(&self) {
-        if !self.begun.is_reading {
-            self.runs.shared.ends.record_served(self.begun.content);
+        if !self.details.is_prefill {
+            self.runs.shared.terminations.record_served(self.details.content);
         }
     }
 }
--- a/crates/relay/src/cache_survey.rs
+++ b/crates/relay/src/cache_survey.rs
@@ -1,7 +1,7 @@
-//! How a node that has just started learns what engines keep: from peers, or, when all nodes have started anew and nobody
-//! knows, from the engines.
+//! How a newly started node learns which prompt parts engines have cached: from peers or, when all nodes have restarted
+//! and no peer knows, from the engines.
 //!
-//! Without it, parts that engines keep would be read again elsewhere for as long as it takes to use each of them once.
+//! Without it, prefills of cached parts would be repeated on other engines until each part has been used once.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,67 +16,67 @@
 use crate::callers::Traffic;
 use crate::protocol::Protocol;
 
-/// The pause between two tries: time for peers to be heard of, to answer, and to learn it themselves.
-const TRY_PAUSE: Duration = Duration::from_millis(700);
+/// The pause between two attempts. In this time peers are discovered, answer, and learn it themselves.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Tries after which nobody is believed to know anything, as at the very first start.
-const TRIES: u32 = 6;
+/// Attempts after which the node assumes that no peer knows of cached parts, as at the first start of a deployment.
+const ATTEMPTS_MAXIMUM: u32 = 6;
 
-/// An engine that takes longer to tell is passed over: its cache is known from its next readings on.
-const ENGINE_TIME_LIMIT: Duration = Duration::from_millis(800);
+/// An engine that takes longer to answer is skipped. Its next prefills announce what it caches.
+const ENGINE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The largest list of an engine.
+/// The largest list of cached parts that is accepted from an engine.
 const LIST_MAXIMUM_BYTES: usize = 1024 * 1024;
 
-/// Learns what engines keep, once after the start.
+/// Learns what engines have cached, once after the start.
 pub async fn survey<P: Protocol>(traffic: Rc<Traffic<P>>) {
     while !traffic.knowledge.load().is_complete() {
-        sleep(TRY_PAUSE).await;
+        sleep(ATTEMPT_INTERVAL).await;
     }
-    for attempt in 0..TRIES {
+    for attempt in 0..ATTEMPTS_MAXIMUM {
         traffic.peer_notices.request_cached_parts().await;
-        sleep(TRY_PAUSE).await;
+        sleep(ATTEMPT_INTERVAL).await;
         if traffic.peer_notices.knows_cached_parts() {
             log::info!(event = "kept_parts_learned", source = "peer", attempt; "");
             return;
         }
-        // Each list costs a call and holds the engine up a little, so only the few readers ask, and only once.
+        // Each list costs a call and delays the engine a little, so only the few store readers ask, and only once.
         if attempt == 0 && traffic.knowledge.load().is_reader {
-            ask_engines(&traffic).await;
+            query_engines(&traffic).await;
         }
     }
 }
 
-async fn ask_engines<P: Protocol>(traffic: &Traffic<P>) {
+async fn query_engines<P: Protocol>(traffic: &Traffic<P>) {
     let began = Instant::now();
     let knowledge = traffic.knowledge.load_full();
     let engines = knowledge.directory.entries().filter(|entry| entry.back_end.stage.is_some());
     let (mut asked, mut parts) = (0, 0);
     for entry in engines {
-        if !may_ask(traffic, entry) {
+        if !admit_call(traffic, entry) {
             continue;
         }
         let engine = &entry.back_end;
         asked += 1;
-        if let Ok(Some(kept)) = timeout(ENGINE_TIME_LIMIT, list(traffic, engine)).await {
-            parts += kept.len();
-            traffic.peer_notices.record_cached_parts(&engine.id, kept);
+        if let Ok(Some(cached)) = timeout(ENGINE_TIMEOUT, list_cached_parts(traffic, engine)).await {
+            parts += cached.len();
+            traffic.peer_notices.record_cached_parts(&engine.id, cached);
         }
     }
     let took_ms = whole_millis(began.elapsed());
     log::info!(event = "kept_parts_learned", source = "engines", asked, parts, took_ms; "");
 }
 
-/// Whether an engine may be asked now; it is noted that it is.
-fn may_ask<P>(traffic: &Traffic<P>, entry: &DirectoryEntry) -> bool {
+/// Returns whether the engine may be called now, and records the call if so.
+fn admit_call<P>(traffic: &Traffic<P>, entry: &DirectoryEntry) -> bool {
     let now = traffic.clock.now();
     let mut notices = traffic.notices.lock();
     let is_usable = notices.usability(entry, now) == Usability::Usable;
     is_usable && notices.record_call(&entry.back_end.id, now).is_none()
 }
 
-/// What `engine` keeps of long prompts' shared parts; `None` when it does not tell.
-async fn list<P: Protocol>(traffic: &Traffic<P>, engine: &BackEnd) -> Option<Vec<PromptPart>> {
+/// The shared parts of long prompts that `engine` has cached; `None` when it gives no valid list.
+async fn list_cached_parts<P: Protocol>(traffic: &Traffic<P>, engine: &BackEnd) -> Option<Vec<PromptPart>> {
     let connection = traffic.pool.lease(engine).await.ok()?;
     let request = get_request(engine, traffic.protocol.cached_parts_path())?;
     let (status, body) = connection.call(request, LIST_MAXIMUM_BYTES).await?;
@@ -93,5 +93,5 @@
     Some(parts)
 }
 
-/// Smaller parts are not worth a choice of the engine that reads them.
+/// Smaller parts do not justify placing a request by them.
 const PART_MINIMUM_TOKENS: u32 = 1_000;
--- a/crates/relay/src/datagrams.rs
+++ b/crates/relay/src/datagrams.rs
@@ -10,13 +10,13 @@
 
 use crate::metrics::{NodeMessageKind, RelayMetrics};
 
-/// A message of more bytes would be split on its way. Those that could grow are cut to fit.
+/// A larger datagram could be fragmented on its way. Messages of variable length are truncated to fit.
 pub const DATAGRAM_MAXIMUM_BYTES: usize = 1_400;
 
-/// The bytes that a datagram takes beside what is in it.
+/// The bytes of the IPv4 and UDP headers.
 const DATAGRAM_OVERHEAD_BYTES: usize = 28;
 
-/// A socket for messages between nodes. Copies share it.
+/// A socket for messages between nodes. Clones share it.
 #[derive(Clone)]
 pub struct Datagrams {
     socket: Rc<UdpSocket>,
@@ -24,7 +24,7 @@
 }
 
 impl Datagrams {
-    /// Takes and sends messages at `address`.
+    /// Binds a socket at `address` for receiving and sending messages.
     ///
     /// # Errors
     /// When the address can't be bound.
@@ -32,15 +32,15 @@
         Ok(Datagrams { socket: Rc::new(UdpSocket::bind(address.0).await?), metrics })
     }
 
-    /// Sends `message` to each of `receivers`, and returns the bytes that went out. One that can't be sent is like one
-    /// that is lost, and counted.
+    /// Sends `message` to each of `receivers` and returns the bytes that were sent. A failed send is counted and
+    /// otherwise handled like a lost datagram.
     pub async fn send<M: Writable<LittleEndian>>(
         &self,
         message: &M,
         kind: NodeMessageKind,
         receivers: &[Address],
     ) -> usize {
-        let Some(bytes) = self.fitting(message) else {
+        let Some(bytes) = self.encode_within_limit(message) else {
             return 0;
         };
         let mut sent = 0;
@@ -50,16 +50,16 @@
                 Err(_) => self.metrics.record_dropped_message("not_sent"),
             }
         }
-        let total = sent * (bytes.len() + DATAGRAM_OVERHEAD_BYTES);
-        self.metrics.record_node_messages(kind, sent, total);
-        total
+        let total_bytes = sent * (bytes.len() + DATAGRAM_OVERHEAD_BYTES);
+        self.metrics.record_node_messages(kind, sent, total_bytes);
+        total_bytes
     }
 
-    /// The next message; bytes that are none are dropped and counted.
+    /// Receives the next message. Datagrams that do not decode are dropped and counted.
     pub async fn receive<M: for<'a> Readable<'a, LittleEndian>>(&self) -> M {
         let mut buffer = [0; DATAGRAM_MAXIMUM_BYTES];
         loop {
-            // An error is that of a datagram sent before, to a port that nobody listens at.
+            // The error belongs to a datagram that was sent earlier to a port without a listener.
             let Ok((length, _)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
@@ -70,7 +70,7 @@
         }
     }
 
-    fn fitting<M: Writable<LittleEndian>>(&self, message: &M) -> Option<Vec<u8>> {
+    fn encode_within_limit<M: Writable<LittleEndian>>(&self, message: &M) -> Option<Vec<u8>> {
         match encode(message) {
             Ok(bytes) if bytes.len() <= DATAGRAM_MAXIMUM_BYTES => Some(bytes),
             Ok(bytes) => {
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -1,4 +1,4 @@
-//! What this node's own callers ask of engines: counted by the traffic thread, read by the control thread.
+//! The load that this node's own callers put on engines, counted by the traffic thread and read by the control thread.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,29 +13,29 @@
     isolated_prefills: PrefillTotals,
 }
 
-/// This node's own demand. Copies share it; neither thread holds it for longer than it takes to add or copy numbers.
+/// This node's own demand. Clones share it. Both threads hold the lock only while they add or copy numbers.
 #[derive(Clone, Debug, Default)]
 pub struct SharedDemand {
     own: Arc<Mutex<OwnDemand>>,
 }
 
 impl SharedDemand {
-    /// Counts a prompt of which `unread` tokens have to be read.
-    pub fn record_prompt(&self, service: &ServiceName, unread: u32) {
-        self.lock().counters.record_prompt(service, unread);
+    /// Counts a prompt of which `uncached` tokens need a prefill.
+    pub fn record_prompt(&self, service: &ServiceName, uncached: u32) {
+        self.lock().counters.record_prompt(service, uncached);
     }
 
-    /// Counts an answer that was generated in `took`.
+    /// Counts an answer whose generation took `took`.
     pub fn record_answer(&self, service: &ServiceName, took: Duration) {
         self.lock().counters.record_answer(service, took);
     }
 
-    /// Sets what was seen of engines that had nothing else to read.
+    /// Sets the totals of the prefills that ran alone at their engines.
     pub fn set_isolated_prefills(&self, totals: PrefillTotals) {
         self.lock().isolated_prefills = totals;
     }
 
-    /// What the nodes that decide on stages are told.
+    /// The report to the nodes that decide on stages.
     pub fn report(&self, sender: Address, incarnation: u64) -> DemandReport {
         let own = self.lock();
         DemandReport {
@@ -47,7 +47,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, OwnDemand> {
-        // The numbers are whole after every change, also when a thread has ended while it held them.
+        // The numbers are consistent after every change, even if a thread panicked while it held the lock.
         self.own.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/relay/src/knowledge.rs
+++ b/crates/relay/src/knowledge.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows, as one immutable value that the traffic thread reads without a lock.
+//! The control thread's view of the deployment, as one immutable value that the traffic thread reads without a lock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,19 +12,19 @@
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, BackEndId};
 
-/// A configuration in force, with its routes ready to be looked up.
+/// A configuration in force, with indexes for looking up its routes and keys.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
     /// The configuration.
     pub configuration: TrafficConfiguration,
     /// Its routes.
     pub routes: RouteTable,
-    /// Its tenants by their keys; `None` where nobody needs a key.
+    /// Its tenants by their keys; `None` when callers need no key.
     pub keys: Option<KeyTable>,
 }
 
 impl ActiveConfiguration {
-    /// Makes `configuration` ready for use.
+    /// Builds the indexes of `configuration`.
     pub fn new(configuration: TrafficConfiguration) -> Self {
         ActiveConfiguration {
             routes: RouteTable::new(&configuration),
@@ -34,20 +34,20 @@
     }
 }
 
-/// An announced change that was not heard of for this time is regarded as over: its sender is gone, or the engine has
-/// changed. Some times the pause between two announcements, since a datagram may be lost.
-const CHANGE_FORGOTTEN: Duration = Duration::from_millis(2_500);
+/// An announced change expires when no announcement of it was received for this time: its sender is gone, or the engine
+/// has changed. This is several intervals between announcements, since a datagram may be lost.
+const CHANGE_EXPIRY: Duration = Duration::from_millis(2_500);
 
-/// A change of an engine's stage that was announced.
+/// An announced change of an engine's stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnnouncedChange {
     /// The stage that the engine is to serve.
     pub to: EngineStage,
-    /// When it was last heard of.
+    /// When the last announcement was received.
     pub received_at: Timestamp,
 }
 
-/// What a node knows at one moment.
+/// A snapshot of a node's view of the deployment.
 #[derive(Clone, Debug)]
 pub struct Knowledge {
     /// The configuration in force; `None` until the node has learned one.
@@ -56,18 +56,18 @@
     pub directory: Arc<Directory>,
     /// When the store or a peer last confirmed the directory; `None`: never.
     pub directory_confirmed_at: Option<Timestamp>,
-    /// Nodes that take requests, this one included: the most that may share a budget now.
+    /// Nodes that serve requests, including this one: an upper bound of those that share a budget now.
     pub nodes: u32,
-    /// Where the other nodes take notices of readings.
+    /// The addresses at which the other nodes receive notices of prefills.
     pub peers: Arc<Vec<Address>>,
-    /// Whether this node is one of the few that read the store for all.
+    /// Whether this node is one of the few store readers, which read the store for all nodes.
     pub is_reader: bool,
     /// Engines that are about to change their stage.
     pub changing: Arc<BTreeMap<BackEndId, AnnouncedChange>>,
 }
 
 impl Knowledge {
-    /// What a node knows that has just started. Until it has heard of its peers, it takes them for many.
+    /// The view of a newly started node. Until it learns of its peers, it assumes that there are many.
     pub fn nothing() -> Self {
         Knowledge {
             configuration: None,
@@ -85,11 +85,11 @@
         self.configuration.as_ref().map(|active| active.configuration.version).unwrap_or_default()
     }
 
-    /// Whether nothing new is to be sent to `back_end` at `now`, since it is about to change its stage.
+    /// Whether `back_end` gets no new requests at `now` because it is about to change its stage.
     pub fn is_changing(&self, back_end: &BackEnd, now: Timestamp) -> bool {
         let announced = self.changing.get(&back_end.id);
         announced
-            .is_some_and(|change| back_end.stage != Some(change.to) && now.since(change.received_at) < CHANGE_FORGOTTEN)
+            .is_some_and(|change| back_end.stage != Some(change.to) && now.since(change.received_at) < CHANGE_EXPIRY)
     }
 
     /// Whether the node can serve: it has a configuration and knows the back ends.
@@ -98,27 +98,27 @@
     }
 }
 
-/// The moment at which the configuration in force was last shown to be the newest, shared between the two threads.
+/// The time at which the configuration in force was last proven to be the newest, shared between the two threads.
 ///
-/// Unlike other ages it is never too young: what was on its way counts as if nothing had been known meanwhile.
+/// Unlike other ages it is never underestimated: the time that an answer took on its way counts fully towards the age.
 #[derive(Clone, Debug, Default)]
 pub struct SharedTimestamp {
-    /// In microseconds of the process's clock; 0: never.
+    /// In microseconds of the process's clock; 0 means never.
     micros: Arc<AtomicU64>,
 }
 
 impl SharedTimestamp {
-    /// The moment; `None`: it never was.
+    /// The time; `None` if it was never set.
     pub fn get(&self) -> Option<Timestamp> {
         let micros = self.micros.load(Ordering::Relaxed);
         (micros > 0).then(|| Timestamp::from_micros(micros))
     }
 
-    /// Moves the moment to `to`, unless it is later already.
+    /// Advances the time to `to`, unless it is already later.
     pub fn advance(&self, to: Timestamp) {
         self.micros.fetch_max(to.as_micros(), Ordering::Relaxed);
     }
 }
 
-/// What is known, shared between the two threads.
+/// The node's view of the deployment, shared between the two threads.
 pub type SharedKnowledge = Arc<ArcSwap<Knowledge>>;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,9 +1,9 @@
 //! The relay of opaque requests.
 //!
-//! A node takes requests that it doesn't look into, finds their route, places them on a back end and passes the answer
-//! on. What callers, back ends and the store speak is behind the traits of [`protocol`]; what is decided is in
-//! `havengate-core`. All requests are tasks on one traffic thread; a control thread follows the store and the peers,
-//! and publishes what it knows as one immutable value.
+//! A node accepts requests whose bodies it doesn't interpret, finds their route, places them on a back end and forwards
+//! the answer. The traits of [`protocol`] abstract the protocols of callers, back ends and the store; the decisions are
+//! made in `havengate-core`. All requests are tasks on one traffic thread. A control thread follows the store and the
+//! peers, and publishes its view as one immutable value.
 
 pub mod back_ends;
 pub mod broken_runs;
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -1,4 +1,4 @@
-//! A relaying node as a process: its start, its planned stop, and whether it is ready.
+//! The process of a relaying node: start, reload, planned stop, readiness and metrics endpoints.
 
 use std::convert::Infallible;
 use std::io;
@@ -38,29 +38,30 @@
 /// The version of this build.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// How long new connections are still accepted after a planned stop began: until whoever spreads callers over the nodes
-/// has asked twice, a second apart, and sends none any more.
-const ACCEPT_WHILE_LEAVING: Duration = Duration::from_millis(2_600);
+/// How long new connections are still accepted after a planned stop began. By then the load balancer in front of the
+/// nodes has checked readiness twice, a second apart, and sends no more callers.
+const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2_600);
 
-/// Kept back from the grace of a planned stop for the process's own end.
+/// Reserved from the grace period of a planned stop for the process's own exit.
 const STOP_RESERVE: Duration = Duration::from_millis(300);
 
-/// How often a planned stop looks whether requests are open.
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// How often a planned stop checks for open requests.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often rested connections are closed.
+/// How often idle connections are closed.
 const TIDY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often a node tells what it believes of engines and what it has sent to other nodes.
+/// How often a node logs its estimates of engines and the bytes that it has sent to other nodes.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A peer that asks for readiness or metrics gets this time.
-const SIDE_REQUEST_TIME_LIMIT: Duration = Duration::from_secs(5);
+/// The longest that a client of the readiness or metrics endpoint may take to send its head.
+const STATUS_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long before its start a node can still tell when something happened: longer than peers tell of anything.
-const PAST_TOLD: Duration = Duration::from_secs(24 * 3_600);
+/// How far before its start a node can represent times. Peers report no event that is older.
+const REPORTABLE_PAST: Duration = Duration::from_secs(24 * 3_600);
 
-/// Runs a node until it is told to stop and the stop has ended. `read_settings` reads the settings anew for a reload.
+/// Runs a node until a stop signal arrives and the stop has completed. `read_settings` reads the settings again for a
+/// reload.
 ///
 /// # Errors
 /// When an address can't be bound, or a thread or signal handler can't be started.
@@ -72,7 +73,7 @@
 ) -> io::Result<()> {
     let (duties, duties_receiver) = watch::channel(settings.duty_settings());
     let (seeds, seeds_receiver) = watch::channel(settings.seeds.clone());
-    let clock = Clock::start_with_past(PAST_TOLD);
+    let clock = Clock::start_with_past(REPORTABLE_PAST);
     let metrics = RelayMetrics::new();
     let knowledge: SharedKnowledge = Arc::new(ArcSwap::from_pointee(Knowledge::nothing()));
     let demand = SharedDemand::default();
@@ -111,7 +112,8 @@
 }
 
 impl<P: Protocol, R: Fn() -> Result<RelaySettings, RelaySettingsError>> RunningNode<P, R> {
-    /// Takes over what a reload may change. Addresses and the name need a restart; nothing that is open is disturbed.
+    /// Applies the settings that a reload may change. Addresses and the name need a restart. Open requests and
+    /// connections are not affected.
     fn reload(&mut self) {
         let read = match (self.read_settings)() {
             Ok(read) => read,
@@ -120,7 +122,7 @@
                 return;
             }
         };
-        let needs_restart = !read.is_at_the_same_place(&self.settings);
+        let needs_restart = !read.has_same_name_and_addresses(&self.settings);
         self.traffic.set_budget_config(read.retry_budget());
         self.traffic.set_placement(read.placement);
         self.seeds.send_replace(read.seeds.clone());
@@ -140,9 +142,9 @@
         traffic.peer_notices.exchange(settings.notices_address).await?;
         tokio::task::spawn_local(traffic.peer_notices.engine_terminations().clone().sync_with_store(blocks));
         tokio::task::spawn_local(survey(Rc::clone(&traffic)));
-        serve_side(settings.readiness_address, Rc::clone(&traffic), readiness::<P>)?;
+        serve_status(settings.readiness_address, Rc::clone(&traffic), readiness::<P>)?;
         if let Some(address) = settings.metrics_address {
-            serve_side(address, Rc::clone(&traffic), metrics_text::<P>)?;
+            serve_status(address, Rc::clone(&traffic), metrics_text::<P>)?;
         }
         let (phase, phase_receiver) = watch::channel(ServerPhase::Serving);
         let accepting = tokio::task::spawn_local(server.serve(Rc::clone(&traffic), phase_receiver));
@@ -153,7 +155,7 @@
             tokio::select! {
                 _ = stop_signal.recv() => break,
                 _ = reload_signal.recv() => self.reload(),
-                _ = tidy.tick() => tidy_up(&traffic),
+                _ = tidy.tick() => remove_unused(&traffic),
                 _ = summary.tick() => log_summary(&traffic),
             }
         }
@@ -163,8 +165,8 @@
     }
 }
 
-/// Lets go of what is no longer needed.
-fn tidy_up<P>(traffic: &Traffic<P>) {
+/// Closes idle connections and removes expired state.
+fn remove_unused<P>(traffic: &Traffic<P>) {
     traffic.pool.tidy();
     let knowledge = traffic.knowledge.load();
     let services = knowledge.configuration.iter().flat_map(|active| &active.configuration.services);
@@ -173,7 +175,7 @@
         .refresh(services.filter_map(|service| service.engines).map(|engines| engines.cache_tokens).min());
 }
 
-/// Logs what the node believes of engines, and the bytes that it has sent to other nodes since its start.
+/// Logs the estimates of engines, and the bytes that the node has sent to other nodes since its start.
 fn log_summary<P>(traffic: &Traffic<P>) {
     let [prefill, decode, moving] =
         traffic.peer_notices.with_index(|index| index.model().estimates(traffic.clock.now()));
@@ -204,28 +206,29 @@
     );
 }
 
-/// A planned stop: not ready at once, then no new connections, then the end of all open requests.
+/// Runs a planned stop: reports not ready at once, then stops accepting connections, then waits for all open requests
+/// to complete.
 async fn stop<P>(grace: Duration, traffic: &Traffic<P>, phase: &watch::Sender<ServerPhase>) {
     let began = Instant::now();
-    let until = began + grace.saturating_sub(STOP_RESERVE);
+    let deadline = began + grace.saturating_sub(STOP_RESERVE);
     traffic.leaving.set(true);
     log::info!(event = "stopping", open_requests = traffic.active.count(); "");
-    sleep(ACCEPT_WHILE_LEAVING.min(grace / 2)).await;
+    sleep(ACCEPT_WHILE_DRAINING.min(grace / 2)).await;
     phase.send_replace(ServerPhase::Closing);
-    // Connections that have just come get a moment for their first request before open requests are counted.
-    sleep(LAST_CONNECTIONS_PATIENCE + 2 * STOP_POLL).await;
-    while traffic.active.count() > 0 && Instant::now() < until {
-        sleep(STOP_POLL).await;
+    // Connections that were just accepted get a moment for their first request before open requests are counted.
+    sleep(LAST_CONNECTIONS_PATIENCE + 2 * STOP_POLL_INTERVAL).await;
+    while traffic.active.count() > 0 && Instant::now() < deadline {
+        sleep(STOP_POLL_INTERVAL).await;
     }
-    // The last bytes of the last answer leave with the next turn of the connections' tasks.
-    sleep(STOP_POLL).await;
+    // The connections' tasks write the last bytes of the last answer when they run next.
+    sleep(STOP_POLL_INTERVAL).await;
     let took_ms = whole_millis(began.elapsed());
     log::info!(event = "stopped", open_requests = traffic.active.count(), took_ms; "");
 }
 
-type SideAnswer = Response<Full<Bytes>>;
+type StatusResponse = Response<Full<Bytes>>;
 
-fn readiness<P>(traffic: &Traffic<P>) -> SideAnswer {
+fn readiness<P>(traffic: &Traffic<P>) -> StatusResponse {
     let ready = !traffic.leaving.get() && traffic.knowledge.load().is_complete();
     let mut response = Response::new(Full::new(Bytes::from_static(if ready { b"ready" } else { b"not ready" })));
     if !ready {
@@ -234,7 +237,7 @@
     response
 }
 
-fn metrics_text<P>(traffic: &Traffic<P>) -> SideAnswer {
+fn metrics_text<P>(traffic: &Traffic<P>) -> StatusResponse {
     let now = traffic.clock.now();
     let confirmed_at = traffic.knowledge.load().directory_confirmed_at;
     traffic.peer_notices.with_index(|index| traffic.metrics.set_estimates(index.model(), now));
@@ -256,30 +259,30 @@
     }
 }
 
-/// Serves one answer at an address of its own, whatever the path.
-fn serve_side<P: Protocol>(
+/// Serves one status response at its own address, for every path.
+fn serve_status<P: Protocol>(
     address: Address,
     traffic: Rc<Traffic<P>>,
-    answer: fn(&Traffic<P>) -> SideAnswer,
+    respond: fn(&Traffic<P>) -> StatusResponse,
 ) -> io::Result<()> {
     let listener: TcpListener = listen(address.0)?;
     tokio::task::spawn_local(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(STOP_POLL).await;
+                sleep(STOP_POLL_INTERVAL).await;
                 continue;
             };
             let traffic = Rc::clone(&traffic);
             let service = service_fn(move |_: Request<Incoming>| {
-                let response = answer(&traffic);
+                let response = respond(&traffic);
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = HttpBuilder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(SIDE_REQUEST_TIME_LIMIT)
+                .header_read_timeout(STATUS_REQUEST_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             tokio::task::spawn_local(async move {
-                // Whoever asks notices a broken connection and asks again.
+                // The client notices a failed connection and retries.
                 let _ = connection.await;
             });
         }
--- a/crates/relay/src/protocol.rs
+++ b/crates/relay/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The edges of the relay: what callers, back ends and the store speak is translated behind these traits.
+//! The interfaces of the relay: these traits abstract the protocols of callers, back ends and the store.
 
 use std::future::Future;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 use havengate_core::world::{Address, NodeName, ServiceName, StartMoment, TenantName};
 use hyper::header::{HeaderMap, HeaderValue};
 
-/// What a caller's head says beside method, host and path.
+/// The values of a caller's request head besides method, host and path.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// The caller's own name for the request; it is passed on unchanged and comes back with the answer.
+    /// The caller's id for the request. It is forwarded unchanged and returned with the answer.
     pub id: HeaderValue,
-    /// How long the caller waits from now; `None` when it doesn't say.
+    /// How long the caller waits from now; `None` when it states no deadline.
     pub deadline: Option<Duration>,
     /// The prompt's shape, for requests to model engines.
     pub prompt: Option<Prompt>,
 }
 
 impl RequestHead {
-    /// The identity as text, for logs.
+    /// The id as text, for logs.
     pub fn id_text(&self) -> &str {
         self.id.to_str().unwrap_or("unprintable")
     }
@@ -39,93 +39,94 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, thiserror::Error)]
 pub struct MalformedHead(pub String);
 
-/// A KV cache that another engine has read: who keeps it, and under which handle.
+/// A KV cache that another engine has computed: the engine and the handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheSource {
-    /// The engine that keeps it.
+    /// The engine that holds it.
     pub address: Address,
-    /// The engine's name for it.
+    /// The engine's handle for it.
     pub handle: String,
 }
 
 /// The part of a request that is sent.
 #[derive(Clone, Debug)]
 pub enum SendStage {
-    /// All of it.
+    /// The complete request.
     Whole,
-    /// Only its prompt is read.
+    /// Only the prefill of its prompt.
     Prefill,
-    /// All of it, with the prompt already read elsewhere.
+    /// The complete request, after its prefill on another engine.
     Decode(CacheSource),
 }
 
-/// What a back end is told beside the caller's request.
+/// The values that are sent to a back end besides the caller's request.
 #[derive(Clone, Debug)]
 pub struct SendFacts<'a> {
-    /// The back end that is meant; no other may run the request.
+    /// The addressed back end; no other may run the request.
     pub back_end: &'a BackEnd,
-    /// How long the answer is waited for from now.
+    /// How long the node waits for the answer from now.
     pub deadline: Duration,
     /// The part that is sent.
     pub stage: &'a SendStage,
-    /// An engine that keeps a part of the prompt, from which the back end may take it instead of reading it.
+    /// An engine that has cached a part of the prompt. The back end may fetch the part from it instead of running the
+    /// prefill.
     pub cache_peer: Option<Address>,
-    /// Who goes first; `None` where the back end is not told.
+    /// The urgency; `None` when it is not sent to the back end.
     pub urgency: Option<EngineUrgency>,
-    /// Whose request it is; `None`: nobody's in particular.
+    /// The tenant of the request; `None` when it has none.
     pub tenant: Option<&'a TenantName>,
 }
 
-/// Who goes first at an engine.
+/// How urgent a request is among those at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineUrgency {
-    /// Whether the request can be in time; those that can go before all others.
+    /// Whether the request can meet its target; those that can run before all others.
     pub urgency: Urgency,
-    /// The rank among requests alike, by the tenant's or else the route's priority; 0 is the most urgent.
+    /// The rank among requests of equal urgency, by the tenant's or else the route's priority; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// What an answer's head proves.
+/// What an answer's head proves about the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerHead {
     /// The back end's answer to this request.
     Proper,
     /// The back end's answer to this request, which reports that running it failed.
     Failure,
-    /// The back end did not run the request, nor will: it has no room.
+    /// The back end did not and will not run the request: it has no capacity.
     Declined,
-    /// The back end did not run the request, nor will: it is not the one that was meant.
+    /// The back end did not and will not run the request: it is not the addressed one.
     WrongBackEnd,
     /// The bytes are not an answer to this request.
     Foreign,
 }
 
-/// What an engine tells of itself.
+/// The state that an engine reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineReport {
-    /// When it started, if it says so.
+    /// When it started, if it reports that.
     pub started: Option<StartMoment>,
     /// The stage that it serves.
     pub stage: EngineStage,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub is_busy: bool,
-    /// The orders that it has taken in its life.
+    /// The orders that it has accepted in this incarnation.
     pub orders_taken: u64,
 }
 
-/// What an engine tells of its cache.
+/// The cache contents that an engine reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheReport {
-    /// When the engine started, if it says so.
+    /// When the engine started, if it reports that.
     pub started: Option<StartMoment>,
-    /// The parts that it keeps.
+    /// The parts that it has cached.
     pub parts: Vec<PromptPart>,
 }
 
 /// An order to an engine to serve a stage.
 #[derive(Clone, Copy, Debug)]
 pub struct StageOrderFacts<'a> {
-    /// The engine that is meant; no other may follow the order.
+    /// The addressed engine; no other may execute the order.
     pub engine: &'a BackEnd,
     /// The stage that it is to serve.
     pub to: EngineStage,
@@ -133,66 +134,66 @@
     pub holder: &'a NodeName,
     /// The term of its lease.
     pub term: Term,
-    /// The orders that the engine has taken so far: it takes this one only as the next.
+    /// The orders that the engine has accepted so far. It accepts this one only as the next.
     pub orders_taken: u64,
 }
 
-/// What callers and back ends speak.
+/// The protocol of callers and back ends.
 pub trait Protocol: Clone + Send + 'static {
-    /// Reads a caller's head.
+    /// Parses a caller's head.
     ///
     /// # Errors
-    /// When a part of it can't be understood.
+    /// When a part of it is malformed.
     fn read_head(&self, headers: &HeaderMap) -> Result<RequestHead, MalformedHead>;
 
-    /// Takes a caller's key out of its headers, so that it goes nowhere from here.
+    /// Removes a caller's key from its headers, so that it is not forwarded.
     fn take_key(&self, headers: &mut HeaderMap) -> PresentedKey;
 
-    /// Makes a caller's headers those of a request to a back end. Headers that concern only one connection are gone.
+    /// Turns a caller's headers into those of a request to a back end. Removes the hop-by-hop headers.
     fn rewrite_headers(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
 
-    /// Judges the head of an answer to the request called `id`.
+    /// Classifies the head of an answer to the request `id`.
     fn classify_answer(&self, id: &HeaderValue, status: hyper::StatusCode, headers: &HeaderMap) -> AnswerHead;
 
-    /// What an answer to the request called `id` says of the back end that gave it; nothing where it is another one's.
+    /// The notice of the back end in its answer to the request `id`; empty when the answer belongs to another request.
     fn read_notice(&self, id: &HeaderValue, status: hyper::StatusCode, headers: &HeaderMap) -> BackEndNotice;
 
-    /// The path at which an engine tells what its cache keeps.
+    /// The path at which an engine reports its cached parts.
     fn cached_parts_path(&self) -> &'static str;
 
-    /// Reads what an engine's cache keeps out of its answer; `None` when that can't be understood.
+    /// Parses an engine's report of its cached parts; `None` when it is malformed.
     fn read_cached_parts(&self, body: &[u8]) -> Option<CacheReport>;
 
-    /// The path at which an engine tells of itself.
+    /// The path at which an engine reports its state.
     fn report_path(&self) -> &'static str;
 
-    /// Reads what an engine tells of itself; `None` when that can't be understood.
+    /// Parses an engine's report of its state; `None` when it is malformed.
     fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
 
-    /// The request that carries an order; `None` when a value can't be put into it.
+    /// Builds the request that carries an order; `None` when a value can't be represented in it.
     fn stage_order(&self, facts: &StageOrderFacts<'_>) -> Option<hyper::Request<RequestBody>>;
 
-    /// What the status of an engine's answer to an order means.
+    /// Classifies an engine's answer to an order by its status.
     fn classify_order_answer(&self, status: hyper::StatusCode) -> OrderAnswer;
 
-    /// Reads the handle out of the answer to a prompt that was read.
+    /// Parses the handle of the KV cache in the answer to a prefill.
     fn read_handle(&self, body: &[u8]) -> Option<String>;
 }
 
-/// Why the store did not do what it was asked for.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// the store can't be reached: {0}
     Unreachable(String),
-    /// the store refuses: {0}
+    /// the store refused the call: {0}
     Refused(String),
-    /// the store takes no more calls now
+    /// the store throttles calls
     Throttled,
-    /// the store has forgotten the history after the revision
+    /// the store no longer has the history after the revision
     HistoryGone,
-    /// the answer is from before the store went back to an older copy
+    /// the answer is from before the store was restored from an older snapshot
     PreviousEra,
-    /// the store's answer can't be understood: {0}
+    /// the store's answer is malformed: {0}
     Malformed(String),
 }
 
@@ -205,56 +206,56 @@
     pub configuration: Option<TrafficConfiguration>,
 }
 
-/// The lease as the store holds it.
+/// The lease as read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseRead {
-    /// The content; `None` when there is no object, or one that is no lease.
+    /// The content; `None` when there is no object, or its content is not a lease.
     pub record: Option<LeaseRecord>,
-    /// The object as it was read.
+    /// The version of the object that was read.
     pub version: ObjectVersion,
 }
 
-/// The reports of usage as the store holds them.
+/// The usage ledger as read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LedgerRead {
-    /// The reports; none when there is no object, `None` when it holds no reports that can be read.
+    /// The ledger; empty when there is no object, `None` when the object can't be parsed.
     pub ledger: Option<UsageLedger>,
-    /// The object as it was read.
+    /// The version of the object that was read.
     pub version: ObjectVersion,
 }
 
-/// What a service was sized for, as the store holds it.
+/// The baseline of a service's fleet as read from the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BaselineRead {
-    /// The content; `None` when there is no object, or one that tells no size.
+    /// The content; `None` when there is no object, or its content is not a baseline.
     pub baseline: Option<FleetBaseline>,
-    /// The object as it was read.
+    /// The version of the object that was read.
     pub version: ObjectVersion,
 }
 
-/// A request that is blocked, as the store keeps it for nodes that start when no other knows of it.
+/// A blocked request as stored for nodes that start when no other node knows of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockRecord {
     /// The request.
     pub content: ContentId,
-    /// When it was written, in milliseconds since 1970 by the writer's time of day.
+    /// When it was written, in milliseconds since 1970 by the writer's wall clock.
     pub written_millis: u64,
-    /// The engines that ended under it; their ages are those at the time of writing.
+    /// The engines that terminated while running it, with their ages at the time of writing.
     pub terminations: Vec<ReportedTermination>,
 }
 
-/// How a conditional write ended.
+/// The outcome of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect and made this revision.
+    /// It took effect and created this revision.
     Written(Revision),
-    /// It did not and will not take effect: the object is another by now.
+    /// It did not and will not take effect: the object has changed.
     Conflict,
 }
 
-/// A session with the store: one connection, one call at a time.
+/// A session with the store, with one connection and one call at a time.
 pub trait ControlStore: Clone + Send + 'static {
-    /// Reads the whole directory.
+    /// Reads the complete directory.
     fn list_back_ends(&mut self) -> impl Future<Output = Result<DirectoryListing, StoreError>>;
 
     /// Waits for changes of the directory.
@@ -267,23 +268,24 @@
     /// Reads the configuration.
     fn read_configuration(&mut self) -> impl Future<Output = Result<ConfigurationRead, StoreError>>;
 
-    /// Reads the lease that orders to engines need.
+    /// Reads the lease that is required for orders to engines.
     fn read_lease(&mut self) -> impl Future<Output = Result<LeaseRead, StoreError>>;
 
-    /// Writes the lease if it still is what the write replaces. Any error leaves open whether it takes effect.
+    /// Writes the lease if the stored one is still what the write replaces. After an error the outcome is unknown.
     fn write_lease(&mut self, write: &LeaseWrite) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
-    /// Reads the reports of usage that are kept.
+    /// Reads the stored usage ledger.
     fn read_usage(&mut self) -> impl Future<Output = Result<LedgerRead, StoreError>>;
 
-    /// Keeps reports of usage if the ledger still is what the write replaces. Any error leaves open whether it takes effect.
+    /// Writes the usage ledger if the stored one is still what the write replaces. After an error the outcome is
+    /// unknown.
     fn write_usage(&mut self, write: &LedgerWrite) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
-    /// Reads what a service was sized for before any of its engines was ordered.
+    /// Reads the baseline of a service, from before any of its engines was ordered.
     fn read_baseline(&mut self, service: &ServiceName) -> impl Future<Output = Result<BaselineRead, StoreError>>;
 
-    /// Keeps what a service was sized for, if what is kept still is `expected`.
-    /// Any error leaves open whether it takes effect.
+    /// Writes the baseline of a service if the stored object still has the version `expected`.
+    /// After an error the outcome is unknown.
     fn write_baseline(
         &mut self,
         service: &ServiceName,
@@ -291,13 +293,13 @@
         expected: ObjectVersion,
     ) -> impl Future<Output = Result<WriteOutcome, StoreError>>;
 
-    /// Reads all requests that are blocked, as they were written.
+    /// Reads the records of all blocked requests.
     fn list_blocks(&mut self) -> impl Future<Output = Result<Vec<BlockRecord>, StoreError>>;
 
-    /// Keeps a request that is blocked; does nothing where it is kept already.
+    /// Writes the record of a blocked request; does nothing when it is stored already.
     fn write_block(&mut self, record: &BlockRecord) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Removes a request that is no longer blocked, if it is kept.
+    /// Removes the record of a request that is no longer blocked, if it is stored.
     fn remove_block(&mut self, content: ContentId) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Waits for a change of the configuration.
@@ -308,25 +310,25 @@
     ) -> impl Future<Output = Result<ConfigurationRead, StoreError>>;
 }
 
-/// Who makes a call of a duty, and by which right.
+/// The authority for a call of a duty: the lease under which it is made.
 #[derive(Clone, Copy, Debug)]
 pub struct DutyRight<'a> {
     /// The node that holds the lease.
     pub holder: &'a NodeName,
     /// The term of the lease.
     pub term: Term,
-    /// The longest that the answer may take.
+    /// The timeout of the answer.
     pub time_limit: Duration,
 }
 
-/// What takes the calls of duties: one session, one call at a time.
+/// A session with the receiver of duty calls, with one call at a time.
 pub trait DutyReceiver: Clone + Send + 'static {
-    /// Tells what tenants have used in a window.
+    /// Reports the usage of tenants in a window.
     fn report_usage(&mut self, right: &DutyRight<'_>, report: &UsageReport) -> impl Future<Output = DutyAnswer>;
 
-    /// Orders how many engines a service is to have in a zone. A conflict may also mean that there are none to be had.
+    /// Orders the number of engines of a service in a zone. A conflict may also mean that no engines are available.
     fn order_fleet(&mut self, right: &DutyRight<'_>, order: &FleetOrder) -> impl Future<Output = DutyAnswer>;
 }
 
-/// A request's body, read whole.
+/// A request's body, fully read.
 pub type RequestBody = http_body_util::Full<Bytes>;
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node that relays.
+//! The settings of a relaying node.
 
 use std::path::Path;
 use std::time::Duration;
@@ -13,84 +13,85 @@
 
 use crate::control::{DutyLeaseSettings, DutySettings};
 
-/// The settings of a node that relays, as its file holds them.
+/// The settings of a relaying node, as its file has them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
     /// The node's name, for logs.
     pub name: NodeName,
-    /// The zone that its machine stands in.
+    /// The zone of its machine.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub callers_address: Address,
-    /// Where the node tells whether it takes requests.
+    /// The address of the readiness endpoint.
     pub readiness_address: Address,
-    /// Where peers connect, TCP and UDP on the same port.
+    /// The address that peers connect to, TCP and UDP on the same port.
     pub peers_address: Address,
-    /// Where peers tell of the prompts that they have read, UDP.
+    /// The address that peers send their notices of prefills to, UDP.
     pub notices_address: Address,
-    /// Where the node's metrics are read; `None`: nowhere.
+    /// The address of the metrics endpoint; `None` disables it.
     #[serde(default)]
     pub metrics_address: Option<Address>,
-    /// The store.
+    /// The address of the store.
     pub store_address: Address,
-    /// Peers that are told of this node from the start; they may be gone.
+    /// Peers that the node contacts from its start on; they may no longer exist.
     #[serde(default)]
     pub seeds: Vec<Address>,
-    /// The longest that a planned stop may take, in seconds.
+    /// The time limit of a planned stop, in seconds.
     pub stop_grace_seconds: f64,
-    /// The limits of repeats.
+    /// The limits of retries.
     pub retry_budget: RetryBudgetSettings,
-    /// What the placement of requests weighs.
+    /// The parameters of request placement.
     #[serde(default)]
     pub placement: PlacementConfig,
-    /// How engines change between reading prompts and answering.
+    /// How engines change between prefill and decode.
     #[serde(default)]
     pub stages: StagePolicyConfig,
-    /// The lease that duties need. Its former name is that of the first duty.
+    /// The lease that duties require. The alias is its previous name, after the first duty.
     #[serde(default, alias = "stage_lease")]
     pub duty_lease: DutyLeaseSettings,
-    /// What takes the calls of duties; `None`: nothing, and there are no such duties.
+    /// The address of the receiver of duty calls; `None` disables these duties.
     #[serde(default)]
     pub duties_address: Option<Address>,
-    /// How usage is reported; `None`: not at all.
+    /// How usage is reported; `None` disables the reports.
     #[serde(default)]
     pub usage: Option<UsageConfig>,
-    /// What holds of tenants' keys.
+    /// The rules for tenants' keys.
     #[serde(default)]
     pub keys: KeySettings,
     /// How the number of engines is decided.
     #[serde(default)]
     pub fleet: FleetPolicyConfig,
-    /// The least severe events that are logged.
+    /// The lowest severity that is logged.
     #[serde(default)]
     pub log_level: LogLevel,
 }
 
-/// The limits of repeats to one service, over all nodes.
+/// The limits of retries to one service, over all nodes.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudgetSettings {
-    /// Repeats that each request pays for, from 0 to 1.
+    /// The retries that each request adds to the budget, from 0 to 1.
     pub ratio: f64,
-    /// Repeats in a window beyond the ratio.
+    /// The retries in a window that are allowed beyond the ratio.
     pub slack: f64,
     /// The length of the window, in seconds.
     pub window_seconds: f64,
 }
 
-/// What holds of tenants' keys.
+/// The rules for tenants' keys.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// A node that can't show that its configuration is newer than this refuses what needs a key, in milliseconds; without it,
-    /// it goes by what it has.
+    /// The maximum age of the configuration for checking keys, in milliseconds. A node that can't prove that its
+    /// configuration is newer rejects requests that need a key. Without this limit it uses the configuration that it
+    /// has.
     #[serde(default)]
     pub revocation_milliseconds: Option<f64>,
 }
 
 impl KeySettings {
-    /// The time within which a key that was taken away must not be taken any more, if nodes are bound to it.
+    /// The time after which a revoked key must be rejected; `None` when there is no limit.
     pub fn revocation(&self) -> Option<Duration> {
         self.revocation_milliseconds.map(|milliseconds| Duration::from_secs_f64(milliseconds / 1e3))
     }
@@ -122,7 +123,7 @@
     /// Reads and checks the settings file at `path`.
     ///
     /// # Errors
-    /// When it can't be read, is malformed or holds values that are not allowed.
+    /// When it can't be read, is malformed or contains values out of range.
     pub fn load(path: &Path) -> Result<Self, RelaySettingsError> {
         read_toml::<RelaySettings>(path)?.checked()
     }
@@ -130,7 +131,7 @@
     /// Parses and checks settings; `path` only names the source in errors.
     ///
     /// # Errors
-    /// As [`RelaySettings::load`], except for reading.
+    /// As [`RelaySettings::load`], except for I/O errors.
     pub fn parse(path: &Path, text: &str) -> Result<Self, RelaySettingsError> {
         parse_toml::<RelaySettings>(path, text)?.checked()
     }
@@ -168,9 +169,9 @@
         Ok(self)
     }
 
-    /// Whether the name and all addresses but the seeds are those of `other`.
-    pub fn is_at_the_same_place(&self, other: &RelaySettings) -> bool {
-        let place = |settings: &RelaySettings| {
+    /// Whether the name, the zone and all listed addresses are equal to those of `other`.
+    pub fn has_same_name_and_addresses(&self, other: &RelaySettings) -> bool {
+        let identity = |settings: &RelaySettings| {
             let addresses = [
                 Some(settings.callers_address),
                 Some(settings.readiness_address),
@@ -181,20 +182,20 @@
             ];
             (settings.name.clone(), settings.zone.clone(), addresses)
         };
-        place(self) == place(other)
+        identity(self) == identity(other)
     }
 
-    /// The longest that a planned stop may take.
+    /// The time limit of a planned stop.
     pub fn stop_grace(&self) -> Duration {
         Duration::from_secs_f64(self.stop_grace_seconds)
     }
 
-    /// What the control thread is told of duties.
+    /// The settings of duties for the control thread.
     pub fn duty_settings(&self) -> DutySettings {
         DutySettings { lease: self.duty_lease, stages: self.stages, usage: self.usage, fleet: self.fleet }
     }
 
-    /// The limits of repeats to one service.
+    /// The limits of retries to one service.
     pub fn retry_budget(&self) -> SharedRetryBudgetConfig {
         SharedRetryBudgetConfig {
             ratio: self.retry_budget.ratio,
--- a/crates/relay/tests/settings.rs
+++ b/crates/relay/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node that relays.
+//! The settings of a relaying node.
 
 use std::path::Path;
 
@@ -25,22 +25,22 @@
 window_seconds = 10
 "#;
 
-fn parse(placement: &str) -> Result<RelaySettings, RelaySettingsError> {
-    RelaySettings::parse(Path::new("settings.toml"), &format!("{BASE}\n{placement}"))
+fn parse(section: &str) -> Result<RelaySettings, RelaySettingsError> {
+    RelaySettings::parse(Path::new("settings.toml"), &format!("{BASE}\n{section}"))
 }
 
 #[test]
-fn placement_that_is_not_set_has_its_defaults() {
-    assert_eq!(parse("").expect("the settings are right").placement, PlacementConfig::default());
+fn missing_placement_settings_use_the_defaults() {
+    assert_eq!(parse("").expect("the settings are valid").placement, PlacementConfig::default());
 }
 
 #[test]
-fn each_mechanism_of_placement_can_be_set() {
+fn every_placement_setting_can_be_set() {
     let text = "[placement]\naffinity = false\ntakes_parts_over = false\ndecode_engines_read = false\n\
                 prefill_suffices_share = 0.5\nshort_prompts_apart = true\n\
                 orders_by_urgency = false\nrefuses_early = false\ndecode_interference = 2.5\nzone_advantage = 0\n\
                 target_share = 1.0\nbacklog_per_request_milliseconds = 40";
-    let set = PlacementConfig {
+    let expected = PlacementConfig {
         affinity: false,
         takes_parts_over: false,
         decode_engines_read: false,
@@ -53,12 +53,12 @@
         target_share: 1.0,
         backlog_per_request_milliseconds: 40.0,
     };
-    assert_eq!(parse(text).expect("the settings are right").placement, set);
+    assert_eq!(parse(text).expect("the settings are valid").placement, expected);
 }
 
 #[test]
-fn values_that_cannot_be_reckoned_with_and_unknown_keys_are_refused() {
-    let wrong = [
+fn invalid_placement_values_and_unknown_keys_are_rejected() {
+    let invalid = [
         "decode_interference = 0",
         "prefill_suffices_share = -1",
         "zone_advantage = -1",
@@ -69,28 +69,28 @@
         "affinity = 3",
         "luck = true",
     ];
-    for line in wrong {
+    for line in invalid {
         assert!(parse(&format!("[placement]\n{line}")).is_err(), "{line}");
     }
 }
 
 #[test]
-fn stages_that_are_not_set_keep_as_they_are_and_wrong_values_are_refused() {
-    let settings = parse("").expect("the settings are right");
+fn missing_stage_settings_use_the_defaults_and_invalid_values_are_rejected() {
+    let settings = parse("").expect("the settings are valid");
     assert_eq!(settings.stages, StagePolicyConfig::default());
     assert_eq!(settings.duty_lease, DutyLeaseSettings::default());
     let text = "[stages]\npolicy = \"fixed\"\nprefill_share = 0.4\n[stage_lease]\nhand_over_milliseconds = 2500";
-    let settings = parse(text).expect("the settings are right");
+    let settings = parse(text).expect("the settings are valid");
     assert_eq!((settings.stages.policy, settings.stages.prefill_share), (StagePolicyName::Fixed, 0.4));
     assert_eq!(settings.duty_settings().lease.lease().hand_over, Duration::from_millis(2_500));
-    let wrong = [
+    let invalid = [
         "[stages]\npolicy = \"guess\"",
         "[stages]\nprefill_share = 2",
         "[stages]\nunknown = 1",
         "[duty_lease]\nhand_over_milliseconds = -1",
         "[stage_lease]\nhand_over_milliseconds = 1e9",
     ];
-    for text in wrong {
+    for text in invalid {
         assert!(parse(text).is_err(), "{text}");
     }
 }
--- a/crates/relay/tests/wire_layout.rs
+++ b/crates/relay/tests/wire_layout.rs
@@ -1,9 +1,10 @@
-//! Nodes of this build and of the landing before serve side by side: each reads what the other sends.
+//! Nodes of this build and of the previous release run side by side, so each must decode what the other sends.
 //!
-//! `fixtures/wire-COMMIT.txt` holds the bytes of one message of each kind as the code of that commit wrote them, one a line: name and bytes in hex. Messages
-//! stand by position, without tags, so any change of a layout shows here. A new kind gets a sample of its own and is not in older records;
-//! a node that doesn't know it drops it. `fixtures/record.sh COMMIT` makes a record; the one of a landing goes in with the next one, and stays until no deployment
-//! begins on it.
+//! `fixtures/wire-COMMIT.txt` contains one message of each kind as the code of that commit encoded it, one per line:
+//! the name and the bytes in hex. Fields are encoded by position, without tags, so these tests detect any change of a
+//! layout. A new kind gets its own sample and is missing in older records; a node that doesn't know it drops it.
+//! `fixtures/record.sh COMMIT` creates a record. The record of a release is added with the next release and stays until
+//! no deployment is upgraded from it.
 
 mod wire_samples;
 
@@ -18,21 +19,21 @@
 use speedy::{Readable, Writable};
 use wire_samples::{Sample, samples};
 
-/// Names a file to which the samples of this build are written.
+/// The environment variable with the path of a file that the samples of this build are written to.
 const RECORD_VARIABLE: &str = "HAVENGATE_RECORD_LAYOUT";
 
 fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
 }
 
-/// The messages of a landing as it wrote them.
+/// The messages of a previous release as it encoded them.
 struct Record {
     name: String,
-    /// By the name of the sample.
+    /// The names and bytes of the samples.
     messages: Vec<(String, Vec<u8>)>,
 }
 
-/// The records of former landings.
+/// The records of previous releases.
 fn records() -> Vec<Record> {
     let files = fs::read_dir(fixtures()).expect("the fixtures can be listed").flatten();
     let is_record = |name: &String| name.starts_with("wire-") && name.ends_with(".txt");
@@ -40,7 +41,7 @@
         files.map(|file| file.file_name().to_string_lossy().into_owned()).filter(is_record).collect();
     names.sort();
     let read = |name: String| {
-        let text = fs::read_to_string(fixtures().join(&name)).expect("a record can be read");
+        let text = fs::read_to_string(fixtures().join(&name)).expect("the record can be read");
         Record { messages: text.lines().map(read_line).collect(), name }
     };
     names.into_iter().map(read).collect()
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn each_message_is_written_and_read_as_by_the_landing_before() {
+fn each_message_has_the_layout_of_the_previous_release() {
     let samples = samples();
     if let Ok(path) = std::env::var(RECORD_VARIABLE) {
         let line = |sample: &Sample| format!("{} {}\n", sample.name, hex(&sample.bytes));
@@ -65,20 +66,20 @@
         return;
     }
     let records = records();
-    assert!(!records.is_empty(), "there is a record of the landing before");
+    assert!(!records.is_empty(), "there is a record of the previous release");
     for Record { name: record, messages } in records {
         for (name, bytes) in messages {
             let sample = samples.iter().find(|sample| sample.name == name);
-            let sample = sample.unwrap_or_else(|| panic!("{record}: {name} is no longer sent"));
-            assert!((sample.is_read_from)(&bytes), "{record}: {name} is not read as it was meant");
-            assert_eq!(hex(&sample.bytes), hex(&bytes), "{record}: {name} is written in another layout");
+            let sample = sample.unwrap_or_else(|| panic!("{record}: there is no sample of {name}"));
+            assert!((sample.is_decoded_from)(&bytes), "{record}: {name} is not decoded to the same message");
+            assert_eq!(hex(&sample.bytes), hex(&bytes), "{record}: {name} is encoded in another layout");
         }
     }
 }
 
-/// [`PeerNotice`] as the builds before the news of limits know it.
+/// [`PeerNotice`] as builds without notices of limits define it.
 #[derive(Debug, PartialEq, Readable, Writable)]
-enum FormerReadingsMessage {
+enum PeerNoticeBeforeLimits {
     Notice(PrefillNotice),
     AskKept { sender: Address },
     Kept(CachedParts),
@@ -88,9 +89,9 @@
 }
 
 #[test]
-fn a_kind_that_a_former_build_does_not_know_is_no_message_to_it() {
+fn an_older_build_rejects_a_message_kind_that_it_does_not_know() {
     for sample in samples() {
-        let is_known = decode::<FormerReadingsMessage>(&sample.bytes).is_ok();
+        let is_known = decode::<PeerNoticeBeforeLimits>(&sample.bytes).is_ok();
         match sample.name {
             "readings.limits" => assert!(!is_known),
             name if name.starts_with("readings.") => assert!(is_known, "{name}"),
@@ -99,9 +100,9 @@
     }
 }
 
-/// Each kind is told by its first four bytes; those that are none of today's stand for a later build's.
+/// The first four bytes of a message are its kind. Unknown kinds represent messages of a later build.
 #[test]
-fn bytes_of_a_later_build_or_of_none_are_no_message() {
+fn unknown_kinds_truncated_messages_and_noise_are_rejected() {
     let unknown_kinds = [7_u32, 255, u32::MAX];
     for kind in unknown_kinds {
         let mut bytes = kind.to_le_bytes().to_vec();
@@ -110,9 +111,9 @@
         assert!(decode::<PeerMessage>(&bytes).is_err(), "peer, kind {kind}");
     }
     for sample in samples() {
-        let without_end = &sample.bytes[..sample.bytes.len() - 1];
-        assert!(!(sample.is_read_from)(without_end), "{} cut off", sample.name);
-        assert!(!(sample.is_read_from)(&[]), "{} empty", sample.name);
+        let truncated = &sample.bytes[..sample.bytes.len() - 1];
+        assert!(!(sample.is_decoded_from)(truncated), "{} truncated", sample.name);
+        assert!(!(sample.is_decoded_from)(&[]), "{} empty", sample.name);
     }
     let noise = vec![0xa7; 64 * 1024];
     assert!(decode::<PeerNotice>(&noise).is_err());
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -1,4 +1,4 @@
-//! One message of each kind that nodes of the serving path send each other, always the same.
+//! One fixed message of each kind that relaying nodes send each other.
 
 use havengate_core::authority::Term;
 use havengate_core::back_ends::{
@@ -28,25 +28,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Whether bytes are read as a certain message.
-type IsReadFrom = Box<dyn Fn(&[u8]) -> bool>;
+/// Whether bytes decode to a given message.
+type DecodeCheck = Box<dyn Fn(&[u8]) -> bool>;
 
-/// A message as today's code writes it, and whether bytes are read as the same message.
+/// A message as the current code encodes it, and a check whether bytes decode to the same message.
 pub struct Sample {
-    /// Names it in the records of layouts.
+    /// The name in the records of layouts.
     pub name: &'static str,
-    /// As it is written.
+    /// The encoded message.
     pub bytes: Vec<u8>,
-    /// Whether bytes are read as this message.
-    pub is_read_from: IsReadFrom,
+    /// Whether bytes decode to this message.
+    pub is_decoded_from: DecodeCheck,
 }
 
 fn sample<M>(name: &'static str, message: M) -> Sample
 where
     M: for<'a> Readable<'a, LittleEndian> + Writable<LittleEndian> + PartialEq + 'static,
 {
-    let bytes = encode(&message).expect("it can be written");
-    Sample { name, bytes, is_read_from: Box::new(move |bytes| decode::<M>(bytes).is_ok_and(|read| read == message)) }
+    let bytes = encode(&message).expect("the message can be encoded");
+    Sample { name, bytes, is_decoded_from: Box::new(move |bytes| decode::<M>(bytes).is_ok_and(|read| read == message)) }
 }
 
 /// All samples.
@@ -63,13 +63,13 @@
         sample("answer.changes", answer(DirectoryUpdate::Changes(changes()))),
         sample("answer.listing", answer(DirectoryUpdate::Listing(listing()))),
         sample("news.whole", ConfigurationUpdate::Full(configuration(9))),
-        sample("news.changes", news_of_changes()),
+        sample("news.changes", configuration_changes()),
     ];
-    samples.extend(readings());
+    samples.extend(peer_notices());
     samples
 }
 
-fn readings() -> Vec<Sample> {
+fn peer_notices() -> Vec<Sample> {
     let sender = address(1);
     let part = PromptPart { id: 0x1122_3344_5566, tokens: 13_300 };
     let notice = PrefillNotice {
@@ -79,25 +79,25 @@
         first_finished: 12,
         finished: vec![FinishedPrefill { engine: tag(4), shared_parts: vec![part], tokens: 17_000 }],
     };
-    let kept = CachedParts { engine: life(), parts: vec![AnnouncedPart { part, brought_since: 5 }] };
+    let cached = CachedParts { engine: back_end_id(), parts: vec![AnnouncedPart { part, brought_since: 5 }] };
     let run = ReportedRun { content: content(), ran_micros: 900 };
-    let ends = TerminationNotice {
+    let terminations = TerminationNotice {
         sender,
         ends: vec![ReportedTermination { engine: tag(5), age_micros: 1_000, runs: vec![run] }],
         served: vec![ServedContent { content: content(), age_micros: 2_000 }],
     };
-    let leaving = DrainingBackEnd { back_end: life(), age_millis: 250 };
-    let limit = |limit| AnnouncedLimit { back_end: life(), limit, age_millis: 250 };
+    let draining = DrainingBackEnd { back_end: back_end_id(), age_millis: 250 };
+    let limit = |limit| AnnouncedLimit { back_end: back_end_id(), limit, age_millis: 250 };
     vec![
         sample("readings.notice", PeerNotice::Notice(notice)),
         sample("readings.ask_kept", PeerNotice::AskKept { sender }),
-        sample("readings.kept", PeerNotice::Kept(kept)),
+        sample("readings.kept", PeerNotice::Kept(cached)),
         sample(
             "readings.unreachable",
             PeerNotice::Unreachable(UnreachableNotice { sender, back_ends: vec![(tag(6), 90)] }),
         ),
-        sample("readings.ends", PeerNotice::Ends(ends)),
-        sample("readings.leaving", PeerNotice::Leaving(DrainNotice { sender, back_ends: vec![leaving] })),
+        sample("readings.ends", PeerNotice::Ends(terminations)),
+        sample("readings.leaving", PeerNotice::Leaving(DrainNotice { sender, back_ends: vec![draining] })),
         sample(
             "readings.limits",
             PeerNotice::Limits(LimitNotice { sender, limits: vec![limit(RequestRate::per_second(3.3)), limit(None)] }),
@@ -113,7 +113,7 @@
     PeerAddresses { control: address(number), notices: address(number + 100) }
 }
 
-fn life() -> BackEndId {
+fn back_end_id() -> BackEndId {
     BackEndId::of_life(BackEndName::new("engine-a"), Some(StartMoment(1_700_000_000_123)))
 }
 
@@ -147,7 +147,7 @@
     StageNotice {
         sender: address(1),
         term: Term(8),
-        engines: vec![(life(), EngineStage::Decode), (BackEndId::new("engine-b"), EngineStage::Prefill)],
+        engines: vec![(back_end_id(), EngineStage::Decode), (BackEndId::new("engine-b"), EngineStage::Prefill)],
     }
 }
 
@@ -181,7 +181,7 @@
 
 fn back_end(stage: Option<EngineStage>, state: BackEndState) -> BackEnd {
     BackEnd {
-        id: life(),
+        id: back_end_id(),
         service: ServiceName::new("model"),
         address: address(9),
         zone: ZoneName::new("zone-1"),
@@ -262,7 +262,7 @@
     }
 }
 
-fn news_of_changes() -> ConfigurationUpdate {
+fn configuration_changes() -> ConfigurationUpdate {
     let changes = ConfigurationChanges::between(&configuration(8), &configuration(9));
-    ConfigurationUpdate::Changes(changes.expect("they can be fingerprinted"))
+    ConfigurationUpdate::Changes(changes.expect("the configurations can be fingerprinted"))
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages, by speedy.
+//! Encoding of messages with speedy.
 
 use std::io;
 
@@ -14,9 +14,9 @@
     Codec(#[from] speedy::Error),
     /// a frame of {bytes} bytes exceeds the limit of {limit}
     FrameTooLarge {
-        /// The frame's length as its sender announced it.
+        /// The length in the frame's header.
         bytes: usize,
-        /// The most that is accepted.
+        /// The largest accepted length.
         limit: usize,
     },
     /// the peer speaks protocol version {theirs}, this node {ours}
@@ -30,7 +30,7 @@
     NotHavengate,
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 ///
 /// # Errors
 /// When the message can't be represented, for example a text longer than the codec's length fields.
@@ -38,10 +38,10 @@
     Ok(message.write_to_vec()?)
 }
 
-/// The message in `bytes`, which must hold nothing else.
+/// Decodes the message in `bytes`, which must contain nothing else.
 ///
 /// # Errors
-/// When the bytes are no whole message of this type.
+/// When the bytes are not one complete message of this type.
 pub fn decode<'a, M: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Result<M, WireError> {
     Ok(M::read_from_buffer(bytes)?)
 }
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -1,4 +1,4 @@
-//! Requests on their way from the gateway to the dispatching node, and answers on their way back.
+//! Messages that carry requests from the gateway to the dispatching node, and the answers back.
 
 pub use havengate_core::gateway::PoolLoad;
 use havengate_core::request::{AnswerPiece, RequestId, RequestProfile};
@@ -6,7 +6,7 @@
 use havengate_core::world::PoolId;
 use speedy::{Readable, Writable};
 
-/// From the gateway to the dispatching node.
+/// A message from the gateway to the dispatching node.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 #[allow(clippy::large_enum_variant, reason = "nearly every message is the large variant")]
 pub enum ForwardRequest {
@@ -14,21 +14,21 @@
     Submit {
         /// The pool that the gateway chose.
         pool: PoolId,
-        /// What the request asks for.
+        /// The parameters of the request.
         profile: RequestProfile,
         /// The prompt's text.
         prompt: String,
-        /// Tokens of the answer that the caller already has, after an earlier attempt was cut.
+        /// Tokens of the answer that the caller already has from an interrupted earlier attempt.
         resume_from: u32,
     },
-    /// Withdraw this request, whether it has arrived or not.
+    /// Revoke this request, whether it has arrived or not.
     Revoke {
         /// The request.
         request: RequestId,
     },
 }
 
-/// From the dispatching node to the gateway.
+/// A message from the dispatching node to the gateway.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum ForwardReply {
     /// A piece of the answer.
@@ -37,7 +37,7 @@
     Ended {
         /// The request.
         request: RequestId,
-        /// How it ended.
+        /// Its verdict.
         verdict: Verdict,
         /// The pool's load, for the gateway's next choice.
         load: PoolLoad,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,5 +1,5 @@
 //! Frames on a TCP connection: a length of four bytes, little-endian, then one message. [`frame_of`] and
-//! [`payload_length`] are the layout, for streams of any kind; the other functions read and write blocking ones.
+//! [`payload_length`] implement the layout for any kind of stream; the other functions read and write blocking streams.
 
 use std::io::{Read, Write};
 
@@ -7,14 +7,14 @@
 
 use crate::codec::{WireError, decode, encode};
 
-/// The largest frame. A prompt of the largest accepted body fits; a peer that announces more is broken or hostile, and
-/// reading on would let it take this node's memory.
+/// The largest payload of a frame. A prompt of the largest accepted body fits. A peer that announces more is faulty or
+/// hostile, and reading on would let it exhaust this node's memory.
 pub const FRAME_MAXIMUM_BYTES: usize = 16 * 1024 * 1024;
 
-/// The bytes of a frame's length.
+/// The size of a frame's length field.
 pub const LENGTH_BYTES: usize = size_of::<u32>();
 
-/// One message as a whole frame.
+/// Encodes one message as a complete frame.
 ///
 /// # Errors
 /// When the message is too large or can't be encoded.
@@ -27,20 +27,20 @@
     Ok(frame)
 }
 
-/// The length of the message that follows a frame's first bytes.
+/// The length of the message that follows a frame's length field.
 ///
 /// # Errors
-/// When a longer message is announced than a frame may hold.
-pub fn payload_length(first: [u8; LENGTH_BYTES]) -> Result<usize, WireError> {
-    let length = u32::from_le_bytes(first) as usize;
+/// When the length exceeds [`FRAME_MAXIMUM_BYTES`].
+pub fn payload_length(header: [u8; LENGTH_BYTES]) -> Result<usize, WireError> {
+    let length = u32::from_le_bytes(header) as usize;
     check_length(length)?;
     Ok(length)
 }
 
-/// Writes one message and leaves flushing to the caller.
+/// Writes one message and returns the bytes of its frame. The caller flushes the stream.
 ///
 /// # Errors
-/// When the message is too large or the connection fails. Part of the frame may have left.
+/// When the message is too large or the connection fails. Part of the frame may have been written.
 pub fn write_frame<M: Writable<LittleEndian>>(stream: &mut impl Write, message: &M) -> Result<usize, WireError> {
     let frame = frame_of(message)?;
     stream.write_all(&frame)?;
@@ -50,12 +50,12 @@
 /// Reads one message.
 ///
 /// # Errors
-/// When the connection ends or fails, or the frame is too large or no message of this type.
+/// When the connection ends or fails, or the frame is too large or does not contain a message of this type.
 pub fn read_frame<M: for<'a> Readable<'a, LittleEndian>>(stream: &mut impl Read) -> Result<M, WireError> {
     read_counted_frame(stream).map(|(message, _)| message)
 }
 
-/// Reads one message and tells how many bytes its frame had.
+/// Reads one message and returns it with the bytes of its frame.
 ///
 /// # Errors
 /// As [`read_frame`].
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The first frame in each direction of a connection: who speaks, in which version, and for what.
+//! The first frame in each direction of a connection: the sender, its protocol version and the connection's purpose.
 
 use std::io::{Read, Write};
 
@@ -8,7 +8,7 @@
 use crate::codec::WireError;
 use crate::frame::{read_frame, write_frame};
 
-/// The version of the messages in this crate; raised by any change to their layout.
+/// The version of the messages in this crate. Any change to their layout increments it.
 pub const PROTOCOL_VERSION: u16 = 1;
 
 const MAGIC: u32 = 0x4847_5445;
@@ -27,14 +27,14 @@
 pub struct Hello {
     magic: u32,
     version: u16,
-    /// Who speaks.
+    /// The sender.
     pub member: Member,
     /// What the connection is for.
     pub purpose: Purpose,
 }
 
 impl Hello {
-    /// An introduction in this node's protocol version.
+    /// Creates an introduction with this node's protocol version.
     pub fn new(member: Member, purpose: Purpose) -> Self {
         Hello { magic: MAGIC, version: PROTOCOL_VERSION, member, purpose }
     }
@@ -51,7 +51,7 @@
 /// Reads the other side's introduction.
 ///
 /// # Errors
-/// When the connection fails, the other side is no havengate node, or its protocol version is another.
+/// When the connection fails, the other side is not a havengate node, or its protocol version differs.
 pub fn read_hello(stream: &mut impl Read) -> Result<Hello, WireError> {
     let hello: Hello = read_frame(stream)?;
     if hello.magic != MAGIC {
