--- a/crates/relay/src/broken_runs.rs
+++ b/crates/relay/src/broken_runs.rs
@@ -21,8 +21,8 @@
 /// alive.
 const CHECK_DELAY: Duration = Duration::from_millis(10);
 
-/// The longest that a request waits for the liveness check of an engine before it is sent on. A request waits only if an
-/// engine has already terminated while running it.
+/// The longest that a request waits for the liveness check of an engine before it is sent on. A request waits only if
+/// an engine has already terminated while running it.
 const LIVENESS_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Whether a back end that interrupted a run still accepts connections.
