--- a/crates/relay/src/callers/exchange_driver.rs
+++ b/crates/relay/src/callers/exchange_driver.rs
@@ -212,7 +212,7 @@
         let Some(prompt) = self.request.long_prompt().cloned() else {
             let stage = match plan {
                 PrefillPlan::Prefilled { source, .. } => SendStage::Decode(source.clone()),
-                _ => SendStage::Whole,
+                _ => SendStage::Complete,
             };
             let _timer = back_end.stage.map(|_| traffic.time_short_prompt(matches!(stage, SendStage::Decode(_))));
             let began = traffic.clock.now();
@@ -231,7 +231,7 @@
             return attempt;
         }
         let prefill = traffic.peer_notices.begin(back_end, &prompt, self.request.urgency);
-        let attempt = self.attempt_stage(back_end, &SendStage::Whole).await;
+        let attempt = self.attempt_stage(back_end, &SendStage::Complete).await;
         let is_prefilled = matches!(attempt, Attempt::Answered(_));
         prefill.end(is_prefilled);
         if is_prefilled {
--- a/crates/relay/src/callers/send_step.rs
+++ b/crates/relay/src/callers/send_step.rs
@@ -106,7 +106,7 @@
     let sends_urgency = traffic.placement().orders_by_urgency && back_end.stage.is_some();
     let urgency = match stage {
         SendStage::Decode(_) => EngineUrgency { urgency: Urgency::InTime, rank: 0 },
-        SendStage::Whole | SendStage::Prefill => EngineUrgency { urgency: request.urgency, rank: request.rank() },
+        SendStage::Complete | SendStage::Prefill => EngineUrgency { urgency: request.urgency, rank: request.rank() },
     };
     sends_urgency.then_some(urgency)
 }
@@ -278,7 +278,7 @@
 fn stage_label(stage: &SendStage) -> &'static str {
     match stage {
         SendStage::Prefill => "reading",
-        SendStage::Decode(_) | SendStage::Whole => "answer",
+        SendStage::Decode(_) | SendStage::Complete => "answer",
     }
 }
 
--- a/crates/relay/src/protocol.rs
+++ b/crates/relay/src/protocol.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub enum SendStage {
     /// The complete request.
-    Whole,
+    Complete,
     /// Only the prefill of its prompt.
     Prefill,
     /// The complete request, after its prefill on another engine.
--- a/crates/relay/tests/send_failure.rs
+++ b/crates/relay/tests/send_failure.rs
@@ -16,7 +16,7 @@
 #[test]
 fn failed_connections_and_missing_acknowledgements_are_announced() {
     for failure in [SendFailure::NotSent(error_text()), SendFailure::Silent(error_text())] {
-        for stage in [SendStage::Whole, SendStage::Prefill, decode_stage()] {
+        for stage in [SendStage::Complete, SendStage::Prefill, decode_stage()] {
             assert!(failure.should_warn_peers(&stage), "{failure} {stage:?}");
         }
     }
@@ -25,14 +25,14 @@
 #[test]
 fn interrupted_prefills_are_announced_and_lost_answers_are_not() {
     assert!(SendFailure::Lost(error_text()).should_warn_peers(&SendStage::Prefill));
-    assert!(!SendFailure::Lost(error_text()).should_warn_peers(&SendStage::Whole));
+    assert!(!SendFailure::Lost(error_text()).should_warn_peers(&SendStage::Complete));
     assert!(!SendFailure::Lost(error_text()).should_warn_peers(&decode_stage()));
 }
 
 #[test]
 fn timeouts_are_not_announced() {
     for failure in [SendFailure::TimedOut, SendFailure::NoTime] {
-        for stage in [SendStage::Whole, SendStage::Prefill, decode_stage()] {
+        for stage in [SendStage::Complete, SendStage::Prefill, decode_stage()] {
             assert!(!failure.should_warn_peers(&stage), "{failure} {stage:?}");
         }
     }
