--- a/crates/relay/src/engine_ends.rs
+++ b/crates/relay/src/engine_ends.rs
@@ -25,7 +25,7 @@
     clock: Clock,
     metrics: RelayMetrics,
     /// Wakes the task that sends notices to peers.
-    updates: Notify,
+    pending_updates: Notify,
     /// The newest of the requests that an engine ran for this node when it terminated.
     own_requests: RefCell<VecDeque<ContentId>>,
     /// Sends updates to the task that writes them to the store; `None` until the node serves.
@@ -44,7 +44,7 @@
                 terminations: RefCell::default(),
                 clock,
                 metrics,
-                updates: Notify::new(),
+                pending_updates: Notify::new(),
                 own_requests: RefCell::default(),
                 store: RefCell::default(),
             }),
@@ -58,7 +58,7 @@
         self.record_own_requests(runs);
         let attributions = self.shared.terminations.borrow_mut().note_ended(back_end.into(), runs, at);
         self.record_attributions(&attributions, "own_run");
-        self.shared.updates.notify_one();
+        self.shared.pending_updates.notify_one();
     }
 
     /// Applies a notice from a peer.
@@ -70,7 +70,7 @@
         let attributions = self.shared.terminations.borrow_mut().receive(notice, self.shared.clock.now());
         self.record_attributions(&attributions, source);
         // The sender may not know of an answer that has cleared a request in its notice.
-        self.shared.updates.notify_one();
+        self.shared.pending_updates.notify_one();
     }
 
     /// Records that a request was answered completely, and notifies peers if an engine had terminated while running it.
@@ -84,7 +84,7 @@
             self.record_attributions(&attributions, "another_served");
             log::info!(event = "suspect_served", content:% = content; "");
             self.shared.metrics.record_suspect("served");
-            self.shared.updates.notify_one();
+            self.shared.pending_updates.notify_one();
         }
     }
 
@@ -117,7 +117,7 @@
     /// Waits until updates are pending announcement to peers.
     pub async fn wait_for_updates(&self) {
         while !self.has_unannounced() {
-            self.shared.updates.notified().await;
+            self.shared.pending_updates.notified().await;
         }
     }
 
