--- a/crates/core/src/dispatch/dispatcher.rs
+++ b/crates/core/src/dispatch/dispatcher.rs
@@ -152,7 +152,7 @@
             self.try_again_at = Some(now);
         }
         match event {
-            EngineEvent::PromptRead { request } => self.prompt_read(request, now),
+            EngineEvent::PrefillDone { request } => self.prompt_read(request, now),
             EngineEvent::FirstToken { request } => self.first_token(request, now),
             EngineEvent::Progress { request, tokens } => self.progress(request, tokens),
             EngineEvent::Ended { request, outcome } => self.attempt_ended(request, outcome, now),
--- a/crates/core/src/dispatch/event.rs
+++ b/crates/core/src/dispatch/event.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
     /// The prompt has been read by the prefill engine of a split placement; its KV cache is about to move.
-    PromptRead {
+    PrefillDone {
         /// The request.
         request: RequestId,
     },
--- a/crates/core/tests/dispatch_support/pool.rs
+++ b/crates/core/tests/dispatch_support/pool.rs
@@ -243,7 +243,7 @@
                 }
             }
             StepResult::PromptRead(task) => {
-                self.report(EngineEvent::PromptRead { request: task.request });
+                self.report(EngineEvent::PrefillDone { request: task.request });
                 let Some((_, placement)) = self.attempts.get(&task.request) else { return };
                 let moved = Event::Moved { from: name.clone(), to: placement.decode.clone(), task };
                 let transfer = self.engines[name].performance.transfer_time(task.kv_tokens);
--- a/crates/rehearsal/src/simulate/attempt.rs
+++ b/crates/rehearsal/src/simulate/attempt.rs
@@ -139,7 +139,7 @@
             AttemptUpdate::PromptRead(export) => {
                 attempt.imports = true;
                 let decode = attempt.decode.clone();
-                site.dispatcher.step(EngineEvent::PromptRead { request }, now);
+                site.dispatcher.step(EngineEvent::PrefillDone { request }, now);
                 self.call_run(pool, request, &decode, WorkKind::Generate, Some(export));
             }
             AttemptUpdate::Piece(piece) => self.piece(pool, piece),
