--- a/crates/core/examples/dispatch_cost.rs
+++ b/crates/core/examples/dispatch_cost.rs
@@ -1,4 +1,5 @@
-//! Measures what a dispatcher and a gateway cost in processor time, by the number of engines and of open streams.
+//! Measures the processor time of a dispatcher by the number of engines and open streams, and that of a gateway's
+//! choice of a pool by the number of pools.
 //!
 //! `cargo run --release -p havengate-core --example dispatch_cost`
 
@@ -17,12 +18,12 @@
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, EngineName, EnginePerformance, EngineRole, PoolId};
 
-/// Tokens of an answer, and the time between two of them, at the size to design for.
+/// Tokens of an answer, and the time between two of them, at the size that the system is designed for.
 const ANSWER_TOKENS: u32 = 333;
 const TOKEN_INTERVAL: Duration = Duration::from_millis(56);
 
-/// Virtual time that is measured, after the streams have built up.
-const BUILD_UP: Duration = Duration::from_secs(20);
+/// Virtual time of the ramp-up to a steady number of streams, and of the measurement after it.
+const RAMP_UP: Duration = Duration::from_secs(20);
 const MEASURED: Duration = Duration::from_secs(60);
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -66,7 +67,7 @@
     }
 }
 
-/// What happens next: the next token of a request, or its end after the last one.
+/// Scheduled tokens: their time and request, and the index of the token within the answer.
 type Events = BTreeMap<(Timestamp, RequestId), u32>;
 
 struct Run {
@@ -87,13 +88,13 @@
 
     fn measure(mut self, per_second: f64) -> Cost {
         let gap = Duration::from_secs_f64(1.0 / per_second);
-        let ends = Timestamp::ZERO + BUILD_UP + MEASURED;
+        let end = Timestamp::ZERO + RAMP_UP + MEASURED;
         let mut arrival = Timestamp::ZERO;
         let mut number = 0;
         let mut measuring = false;
-        while arrival < ends {
+        while arrival < end {
             self.tokens_until(arrival);
-            if !measuring && arrival >= Timestamp::ZERO + BUILD_UP {
+            if !measuring && arrival >= Timestamp::ZERO + RAMP_UP {
                 measuring = true;
                 self.start_measuring();
             }
@@ -104,7 +105,7 @@
         self.cost
     }
 
-    /// Forgets what the building-up has cost.
+    /// Discards the cost of the ramp-up.
     fn start_measuring(&mut self) {
         self.cost = Cost {
             streams: self.events.len(),
@@ -118,7 +119,7 @@
     fn request(&mut self, number: u128, now: Timestamp) {
         let profile = profile(number);
         let started = Instant::now();
-        // Refusals cost as well; they are part of the work of a dispatcher.
+        // Refusals count too, since they are part of a dispatcher's work.
         let _ = self.dispatcher.submit(profile, now);
         self.poll(now);
         self.cost.on_requests += started.elapsed();
@@ -188,7 +189,7 @@
     }
 }
 
-/// Time of one choice among `pools` pools of a model.
+/// Mean time of one choice among `pools` pools of a model, in microseconds.
 fn choice_micros(pools: u16) -> f64 {
     const CHOICES: u32 = 20_000;
     let options: Vec<PoolOption> = (0..pools).map(option).collect();
--- a/crates/core/src/dispatch/admission.rs
+++ b/crates/core/src/dispatch/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: predicts the time to the first token, and says what has to give way when demand exceeds the pool.
+//! Admission: predicts the time to the first token, and chooses which requests to refuse or shed under overload.
 
 use std::time::Duration;
 
@@ -12,31 +12,31 @@
 use crate::time::Timestamp;
 use crate::verdict::{NotRun, NotRunReason};
 
-/// The soonest time at which a refused caller is told to come back.
+/// The shortest retry delay that a refusal gives to the caller.
 const RETRY_AFTER_MINIMUM: Duration = Duration::from_millis(100);
-/// When a caller is told to come back if nothing can be predicted.
+/// The retry delay of a refusal if no time can be predicted.
 const RETRY_AFTER_UNKNOWN: Duration = Duration::from_secs(1);
 
-/// The longest wait that is predicted.
+/// The upper bound of predicted waits.
 const LONGEST_PREDICTION: Duration = Duration::from_secs(3_600);
 
-/// Whether a request is let into the queue.
+/// Whether a request is admitted to the queue.
 #[derive(Debug, PartialEq)]
 pub(super) enum Admission {
-    /// It is predicted to meet its deadline.
+    /// The request is predicted to meet its deadline.
     Admitted,
-    /// It will be, once this request of lower priority is given up, and perhaps others after it.
+    /// The request is predicted to meet its deadline if this request of lower priority, and possibly more, is shed.
     AfterShedding(RequestId),
-    /// It is refused.
+    /// The request is refused.
     Refused(NotRun),
 }
 
-/// What a prediction is made from.
+/// The inputs of a prediction.
 pub(super) struct Forecast<'a> {
     pub(super) fleet: &'a Fleet,
     pub(super) queue: &'a FairQueue,
     pub(super) config: &'a DispatchConfig,
-    /// Requests that end a second; 0 when not known.
+    /// Rate at which requests end; 0 if unknown.
     pub(super) completions_per_second: f64,
     pub(super) precedence: Precedence,
     pub(super) now: Timestamp,
@@ -52,11 +52,11 @@
             return Admission::Refused(NotRun::new(NotRunReason::InvalidRequest));
         }
         let queue_is_full = self.queue.len() >= self.config.queue_maximum;
-        let priority_that_competes = match self.precedence {
+        let competing_priority = match self.precedence {
             Precedence::Shares => 0,
             Precedence::Priority => job.profile.priority,
         };
-        let lateness = self.lateness(job, priority_that_competes);
+        let lateness = self.lateness(job, competing_priority);
         if !queue_is_full && lateness.is_none() {
             return Admission::Admitted;
         }
@@ -67,12 +67,12 @@
         }
     }
 
-    /// When a request that is given up now should come back.
+    /// The retry delay for a request that is given up now: the time to prefill all waiting prompts.
     pub(super) fn time_to_empty(&self) -> Duration {
-        self.reading_time(self.queue.read_time()).max(RETRY_AFTER_MINIMUM)
+        self.pool_prefill_time(self.queue.prefill_time()).max(RETRY_AFTER_MINIMUM)
     }
 
-    /// The request of lower priority to give up first; `None` if giving up all of them would not help.
+    /// The request of lower priority to shed first; `None` if shedding all of them would not be enough.
     fn first_to_shed_for(&self, job: &Job) -> Option<RequestId> {
         if self.lateness(job, job.profile.priority).is_some() {
             return None;
@@ -80,7 +80,7 @@
         self.queue.first_to_shed(job.profile.priority)
     }
 
-    /// By how much the job is predicted to miss its deadline if only requests of at least `priority` go before it.
+    /// By how much the job is predicted to miss its deadline if only requests of at least `priority` precede it.
     fn lateness(&self, job: &Job, priority: u8) -> Option<Duration> {
         let predicted = self.time_to_first_token(job, priority);
         let reserve = job.first_token_within().mul_f64(self.config.deadline_reserve);
@@ -90,24 +90,24 @@
 
     /// Predicted time to the first token if the job is put into the queue now.
     fn time_to_first_token(&self, job: &Job, priority: u8) -> Duration {
-        let ahead = self.queue.ahead_of(job, priority);
+        let ahead = self.queue.work_ahead_of(job, priority);
         let engine_wait = self.fleet.capacity(Stage::Prefill).map(|engine| engine.wait(self.now)).min();
-        let reading = engine_wait.unwrap_or_default() + self.reading_time(ahead.read_time);
-        reading.max(self.wait_for_place(ahead.requests)) + job.read_time
+        let prefill_wait = engine_wait.unwrap_or_default() + self.pool_prefill_time(ahead.prefill_time);
+        prefill_wait.max(self.wait_for_batch_slot(ahead.requests)) + job.prefill_time
     }
 
-    /// Time to read prompts that take an engine of the pool `read_time`, with all engines that read.
-    fn reading_time(&self, read_time: Duration) -> Duration {
+    /// Time for all prefill engines together to process prompts that take one idle engine `prefill_time`.
+    fn pool_prefill_time(&self, prefill_time: Duration) -> Duration {
         let share_of_full_rate = |engine: &EngineState| {
-            engine.read_rate(self.config.piece_tokens) / engine.slot.performance.prefill_tokens_per_second
+            engine.prefill_rate(self.config.piece_tokens) / engine.slot.performance.prefill_tokens_per_second
         };
         let engines: f64 = self.fleet.capacity(Stage::Prefill).map(share_of_full_rate).sum();
-        if engines > 0.0 { read_time.div_f64(engines) } else { read_time }
+        if engines > 0.0 { prefill_time.div_f64(engines) } else { prefill_time }
     }
 
-    /// Time until one of the batches has a place, with `requests` before.
-    fn wait_for_place(&self, requests: f64) -> Duration {
-        let free: u32 = self.fleet.capacity(Stage::Decode).map(|engine| engine.free_places(self.now)).sum();
+    /// Time until a batch has a free slot after `requests` other requests have taken theirs.
+    fn wait_for_batch_slot(&self, requests: f64) -> Duration {
+        let free: u32 = self.fleet.capacity(Stage::Decode).map(|engine| engine.free_batch_slots(self.now)).sum();
         let missing = requests + 1.0 - f64::from(free);
         if missing <= 0.0 || self.completions_per_second <= 0.0 {
             return Duration::ZERO;
--- a/crates/core/src/dispatch/attempts.rs
+++ b/crates/core/src/dispatch/attempts.rs
@@ -1,4 +1,4 @@
-//! What happens to a request while an attempt runs, and when the attempt ends.
+//! Handles the progress and the end of an attempt at a request.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::verdict::{MayHaveRun, NotRun, NotRunReason, Verdict};
 use crate::world::EngineName;
 
-/// When a caller should come back after engines have refused its request.
+/// The retry delay for a caller whose request was refused by the engines.
 const RETRY_AFTER_REFUSAL: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    pub(super) fn prompt_read(&mut self, request: RequestId, now: Timestamp) {
+    pub(super) fn prefill_done(&mut self, request: RequestId, now: Timestamp) {
         let Some(running) = self.running.get_mut(&request) else { return };
-        running.prompt_read = true;
-        let reader = running.placement.engines().next();
-        if let Some(engine) = reader.and_then(|reader| self.fleet.get_mut(reader)) {
-            engine.finish_reading(request, now);
+        running.prefill_done = true;
+        let prefill_engine = running.placement.engines().next();
+        if let Some(engine) = prefill_engine.and_then(|prefill_engine| self.fleet.get_mut(prefill_engine)) {
+            engine.finish_prefill(request, now);
         }
     }
 
     pub(super) fn first_token(&mut self, request: RequestId, now: Timestamp) {
         let Some(running) = self.running.get_mut(&request) else { return };
-        running.prompt_read = true;
+        running.prefill_done = true;
         running.generating = true;
         running.job.first_token_at.get_or_insert(now);
         self.fleet.first_token(request, &running.placement, now);
@@ -70,11 +70,12 @@
         self.retry_or_end(running, now);
     }
 
-    /// Puts the request back into the queue for another engine, if limits and budget allow it.
+    /// Puts the request back into the queue for another engine, if the limits and the retry budget allow it.
     ///
-    /// The caller has made sure that it may run again: either it did not run, or its contract says so.
+    /// The calling function must have checked that the request may run again: either it did not run, or its contract
+    /// makes it repeatable.
     fn retry_or_end(&mut self, running: Running, now: Timestamp) {
-        let failed_at = running.suspect().clone();
+        let failed_at = running.likely_failed_engine().clone();
         let mut job = running.job;
         job.failed_at.push(failed_at);
         if !self.may_retry(&job, now) {
@@ -90,9 +91,9 @@
     fn may_retry(&mut self, job: &Job, now: Timestamp) -> bool {
         let in_time = now < self.expires(job);
         let within_limits = job.attempts < self.config.attempts_maximum;
-        let has_place = self.queue.len() < self.config.queue_maximum;
+        let has_queue_room = self.queue.len() < self.config.queue_maximum;
         let has_engine = self.fleet.has_engine_besides(&job.failed_at);
-        if !(in_time && within_limits && has_place && has_engine) {
+        if !(in_time && within_limits && has_queue_room && has_engine) {
             return false;
         }
         let granted = self.retry_budget.try_withdraw();
@@ -102,28 +103,29 @@
 
     fn record_health(&mut self, running: &Running, outcome: &AttemptOutcome, now: Timestamp) {
         let request = running.job.profile.id;
-        let suspect = running.suspect().clone();
+        let likely_failed_engine = running.likely_failed_engine().clone();
         for name in running.placement.engines() {
             let Some(engine) = self.fleet.get_mut(name) else { continue };
             let is_serving = engine.slot.availability == EngineAvailability::Serving;
-            let failed = running.cancelled.is_none() && is_failure(outcome) && is_serving && *name == suspect;
+            let failed =
+                running.cancelled.is_none() && is_failure(outcome) && is_serving && *name == likely_failed_engine;
             if *outcome == AttemptOutcome::Completed {
                 engine.health.record_success(request);
             } else if failed {
                 let ejected = engine.health.record_failure(request, now);
                 self.counters.ejections += u64::from(ejected);
             } else {
-                engine.health.record_nothing(request, now);
+                engine.health.record_inconclusive(request, now);
             }
         }
     }
 }
 
 impl Running {
-    /// The engine that most likely ended the attempt: the one that was at work.
-    fn suspect(&self) -> &EngineName {
+    /// The engine that most likely caused the end of the attempt: the one that was processing the request.
+    fn likely_failed_engine(&self) -> &EngineName {
         match &self.placement.prefill {
-            Some(prefill) if !self.prompt_read => prefill,
+            Some(prefill) if !self.prefill_done => prefill,
             _ => &self.placement.decode,
         }
     }
@@ -145,7 +147,7 @@
     }
 }
 
-/// Whether the outcome speaks against the engine.
+/// Whether the outcome counts as a failure of the engine.
 fn is_failure(outcome: &AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::Completed => false,
--- a/crates/core/src/dispatch/closed_requests.rs
+++ b/crates/core/src/dispatch/closed_requests.rs
@@ -1,4 +1,4 @@
-//! Identities of requests that are closed: they must never start, or never start again.
+//! Identities of closed requests, which must never start, or never start again.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,17 +10,17 @@
 /// How a request was closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Closed {
-    /// It never started; the refusal is repeated to a message that arrives later.
+    /// The request never started; a later message for it gets the same refusal.
     NeverStarted(NotRun),
-    /// It started and has ended.
+    /// The request started and has ended.
     Ended,
 }
 
-/// Remembers closed requests for a time, and never more than a number of them.
+/// Stores closed requests for the retention time, at most `maximum` of them.
 ///
-/// Nothing is forgotten before its time: the caller asks [`ClosedRequests::has_room_for`] before it takes on something
-/// that will have to be remembered. So a message that is under way for less than the retention never starts a request
-/// that was closed.
+/// No entry is removed before the retention ends: the dispatcher checks [`ClosedRequests::has_room_for`] before it
+/// accepts a request that needs an entry later. So a message that is in transit for less than the retention never
+/// starts a closed request.
 #[derive(Debug)]
 pub(super) struct ClosedRequests {
     maximum: usize,
@@ -34,7 +34,7 @@
         ClosedRequests { maximum, retention, by_request: BTreeMap::new(), by_time: VecDeque::new() }
     }
 
-    /// Whether one more request can be remembered besides `open` ones, each of which will be closed some time.
+    /// Whether there is room for one more request besides `open` ones, each of which needs an entry once it closes.
     pub(super) fn has_room_for(&self, open: usize) -> bool {
         self.by_request.len() + open < self.maximum
     }
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(super) fn forget_old(&mut self, now: Timestamp) {
+    pub(super) fn remove_expired(&mut self, now: Timestamp) {
         while let Some(&(closed_at, request)) = self.by_time.front()
             && now.since(closed_at) >= self.retention
         {
--- a/crates/core/src/dispatch/config.rs
+++ b/crates/core/src/dispatch/config.rs
@@ -10,40 +10,40 @@
 /// Limits of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DispatchConfig {
-    /// The most requests that wait; more are refused, since a longer queue only turns into missed deadlines.
+    /// The most waiting requests; further ones are refused, since a longer queue only leads to missed deadlines.
     pub queue_maximum: usize,
-    /// Tokens in one piece of prompt work, as engines interleave it with generation. A longer prompt is read by a
-    /// prefill engine where there is one, since it would hold up the streams of the engine that reads it.
+    /// Tokens in one piece of a prefill, as engines interleave it with generation. A longer prompt is prefilled by a
+    /// prefill engine where there is one, since it would delay the streams of the engine that processes it.
     pub piece_tokens: u32,
-    /// Unread prompt tokens at an engine up to which it gets another prompt. More would queue there, out of reach of
-    /// the fair queue; fewer would leave the engine idle for the time of a link.
+    /// Pending prompt tokens at an engine up to which it gets another prompt. With more, prompts would queue at the
+    /// engine, outside the fair queue; with fewer, the engine would be idle for the latency of a link.
     pub prefill_backlog_tokens: u32,
-    /// The share of the tokens still allowed that a stream is counted on to generate, from 0 to 1. Reading a prompt holds
-    /// up the streams of a mixed engine; each token to come makes up for some of it. An answer that ends sooner than
-    /// counted on breaks its contract's token interval, while counting on less leaves prompts waiting.
+    /// The share of the tokens still allowed that a stream is expected to generate, from 0 to 1. A prefill delays the
+    /// streams of a mixed engine; each further token compensates part of the delay. An answer that ends earlier than
+    /// expected violates its contract's token interval, while a lower share delays prompts.
     pub output_counted_on: f64,
-    /// How much later than its arrival a request's turn within its tenant comes, as a multiple of its predicted work.
-    /// So short work overtakes long work, but only for so long: see [`DispatchConfig::patience`].
+    /// How far after its arrival a request is ordered within its flow, as a multiple of its predicted work. So short
+    /// requests overtake long ones, but for a bounded time: see [`DispatchConfig::patience`].
     pub stretch: f64,
-    /// The most that `stretch` may put a request back, as a share of its contract's time to the first token.
+    /// The longest delay by `stretch`, as a share of the contract's time to the first token.
     pub patience: f64,
-    /// The share of the time to the first token that is kept for errors of prediction, from 0 to 1.
+    /// The share of the time to the first token that is reserved for prediction errors, from 0 to below 1.
     pub deadline_reserve: f64,
-    /// The most attempts at one request, the first included; it bounds what one bad request costs.
+    /// The most attempts at one request, including the first; it bounds the cost of one bad request.
     pub attempts_maximum: u32,
-    /// Bounds retries to a share of the traffic.
+    /// Limits retries to a share of the traffic.
     pub retry_budget: RetryBudgetConfig,
-    /// When a failing engine gets no more work, and when it is tried again.
+    /// When a failing engine is ejected, and when it is probed.
     pub health: HealthConfig,
-    /// The most request identities that are remembered so that they never start again. When it is reached, requests
-    /// are refused: forgetting one early could run a request that its gateway has reported as not run.
+    /// The most identities of closed requests that are stored so that these never start again. At the maximum, requests
+    /// are refused: removing an identity early could run a request that its gateway has reported as not run.
     pub closed_requests_maximum: usize,
-    /// How long a closed request's identity is remembered. It has to exceed the longest time that a message may be
-    /// under way between gateway and dispatcher.
+    /// How long a closed request's identity is stored. It has to exceed the longest time that a message may be in
+    /// transit between gateway and dispatcher.
     pub closed_requests_retention: Duration,
-    /// The most prefixes, in blocks, that are believed cached at one engine; it bounds memory.
+    /// The most prefix blocks that are tracked as cached at one engine; it bounds memory.
     pub prefix_blocks_maximum: usize,
-    /// How long a reported load counts; an older one tells nothing about the load now.
+    /// How long a reported load is used; an older report says nothing about the current load.
     pub load_report_lifetime: Duration,
 }
 
@@ -69,10 +69,10 @@
 }
 
 impl DispatchConfig {
-    /// Checks that the limits make sense together.
+    /// Checks that the limits are valid and consistent.
     ///
     /// # Errors
-    /// Names the first limit that is out of range.
+    /// Returns the first limit that is out of range.
     pub fn validate(&self) -> Result<(), DispatchConfigError> {
         let checks = [
             ("queue_maximum", self.queue_maximum > 0),
--- a/crates/core/src/dispatch/counters.rs
+++ b/crates/core/src/dispatch/counters.rs
@@ -1,17 +1,17 @@
-//! Counts what a dispatcher does, for metrics and reports.
+//! Counters of a dispatcher's work, for metrics and reports.
 
 use crate::policy::RequestOutcome;
 
-/// What a dispatcher has done since it was created.
+/// Counts of a dispatcher's work since it was created.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DispatchCounters {
-    /// Requests that were submitted, repeats of one left out.
+    /// Requests that were submitted, not counting repeats.
     pub submitted: u64,
     /// Requests that were refused on arrival.
     pub refused: u64,
-    /// Requests given up in the queue to make room for others of higher priority.
+    /// Waiting requests given up to make room for requests of higher priority.
     pub shed: u64,
-    /// Requests given up in the queue because their deadline could no longer be met.
+    /// Waiting requests given up because their deadline could no longer be met.
     pub expired: u64,
     /// Attempts that were started.
     pub started: u64,
@@ -19,11 +19,11 @@
     pub retries: u64,
     /// Requests that ended because the retry budget was used up.
     pub retries_denied: u64,
-    /// Engines that were ejected, counted each time.
+    /// Ejections of engines.
     pub ejections: u64,
-    /// Requests whose whole answer met the contract.
+    /// Requests whose complete answer met the contract.
     pub met: u64,
-    /// Requests whose whole answer came too late or too slowly.
+    /// Requests whose complete answer was too late or too slow for the contract.
     pub missed: u64,
     /// Accepted requests that ended as not run.
     pub not_run: u64,
--- a/crates/core/src/dispatch/dispatcher.rs
+++ b/crates/core/src/dispatch/dispatcher.rs
@@ -19,18 +19,18 @@
 use crate::verdict::{NotRun, NotRunReason};
 use crate::world::{Contract, ContractName, EngineName};
 
-/// How long priority rules after the pool had to give up a request.
-const OVERLOAD_MEMORY: Duration = Duration::from_secs(5);
-/// The rate of short prompts is averaged over about this time.
-const SHORT_WORK_WINDOW: Duration = Duration::from_secs(20);
-/// The rate of completions is averaged over about this time.
+/// How long requests are ordered by priority after the pool had to give one up.
+const OVERLOAD_HOLD_TIME: Duration = Duration::from_secs(5);
+/// The approximate averaging time of the rate of short prompts.
+const SHORT_PROMPT_WINDOW: Duration = Duration::from_secs(20);
+/// The approximate averaging time of the rate of completions.
 const COMPLETION_WINDOW: Duration = Duration::from_secs(5);
 
 /// Places the requests of one pool.
 ///
 /// Each request that [`Dispatcher::submit`] accepts ends exactly once: with [`DispatchAction::End`], or with the answer
-/// [`Revocation::BeforeStart`]. One that ends as not run has not been started and will not be, even if its message
-/// arrives again.
+/// [`Revocation::BeforeStart`]. A request that ends as not run has not been started and is never started, even if its
+/// message arrives again.
 pub struct Dispatcher {
     pub(super) config: DispatchConfig,
     pub(super) placement: Box<dyn PlacementPolicy>,
@@ -40,8 +40,8 @@
     pub(super) running: BTreeMap<RequestId, Running>,
     pub(super) running_by_deadline: BTreeSet<(Timestamp, RequestId)>,
     pub(super) limits: PlacementLimits,
-    /// Prompt tokens of short requests, as they arrive.
-    pub(super) short_reading: DecayingRate,
+    /// The rate of prompt tokens to prefill in arriving short requests.
+    pub(super) short_prompt_tokens: DecayingRate,
     pub(super) closed: ClosedRequests,
     pub(super) retry_budget: RetryBudget,
     pub(super) demand: DemandTracker,
@@ -49,10 +49,10 @@
     pub(super) counters: DispatchCounters,
     pub(super) actions: Vec<DispatchAction>,
     polled_at: Timestamp,
-    /// When waiting requests are tried again; `None` while nothing has changed and none waits.
-    pub(super) try_again_at: Option<Timestamp>,
+    /// When placement of waiting requests is next tried; `None` if nothing has changed and no request waits.
+    pub(super) retry_placement_at: Option<Timestamp>,
     /// When a request was last refused, shed or given up for lack of capacity.
-    pub(super) given_up_at: Option<Timestamp>,
+    pub(super) last_given_up_at: Option<Timestamp>,
 }
 
 /// A request that has been placed.
@@ -60,9 +60,9 @@
 pub(super) struct Running {
     pub(super) job: Job,
     pub(super) placement: Placement,
-    /// Whether its prompt has been read in this attempt.
-    pub(super) prompt_read: bool,
-    /// Whether its first token has come in this attempt.
+    /// Whether the prefill of its prompt is done in this attempt.
+    pub(super) prefill_done: bool,
+    /// Whether its first token has arrived in this attempt.
     pub(super) generating: bool,
     /// Set once the request is being cancelled.
     pub(super) cancelled: Option<CancelReason>,
@@ -76,7 +76,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher without engines.
+    /// Creates a dispatcher without engines.
     pub fn new(config: DispatchConfig, placement: Box<dyn PlacementPolicy>) -> Self {
         Dispatcher {
             placement,
@@ -86,7 +86,7 @@
             running: BTreeMap::new(),
             running_by_deadline: BTreeSet::new(),
             limits: PlacementLimits::default(),
-            short_reading: DecayingRate::new(SHORT_WORK_WINDOW),
+            short_prompt_tokens: DecayingRate::new(SHORT_PROMPT_WINDOW),
             closed: ClosedRequests::new(config.closed_requests_maximum, config.closed_requests_retention),
             retry_budget: RetryBudget::new(config.retry_budget),
             demand: DemandTracker::default(),
@@ -94,20 +94,20 @@
             counters: DispatchCounters::default(),
             actions: Vec::new(),
             polled_at: Timestamp::ZERO,
-            try_again_at: None,
-            given_up_at: None,
+            retry_placement_at: None,
+            last_given_up_at: None,
             config,
         }
     }
 
-    /// Replaces the engines of the pool. Requests that run on an engine that is gone go on until they end.
+    /// Replaces the engines of the pool. Requests that run on a removed engine continue until they end.
     pub fn set_engines(&mut self, engines: Vec<EngineSlot>) {
         self.fleet.set_slots(engines, &self.config);
-        self.try_again_at = Some(Timestamp::ZERO);
+        self.retry_placement_at = Some(Timestamp::ZERO);
     }
 
-    /// Replaces the classes of service, for requests that arrive from now on. A request of an unknown contract is
-    /// promised its own time left, and isn't repeatable.
+    /// Replaces the contracts, for requests that arrive from now on. A request with an unknown contract has only its
+    /// own remaining time as the deadline, and isn't repeatable.
     pub fn set_contracts(&mut self, contracts: Vec<Contract>) {
         self.contracts = contracts.into_iter().map(|contract| (contract.name.clone(), contract)).collect();
     }
@@ -115,15 +115,15 @@
     /// Replaces the policy that places requests from now on.
     pub fn set_placement(&mut self, placement: Box<dyn PlacementPolicy>) {
         self.placement = placement;
-        self.try_again_at = Some(Timestamp::ZERO);
+        self.retry_placement_at = Some(Timestamp::ZERO);
     }
 
-    /// Takes a request into the queue. A repeat of a request that waits, runs or has run is accepted and ignored.
+    /// Puts a request into the queue. A repeat of a request that waits, runs or has run is accepted and ignored.
     ///
     /// # Errors
-    /// When the request is refused; it has not run and will not.
+    /// When the request is refused; it has not run and never runs.
     pub fn submit(&mut self, profile: RequestProfile, now: Timestamp) -> Result<(), NotRun> {
-        self.closed.forget_old(now);
+        self.closed.remove_expired(now);
         let request = profile.id;
         match self.closed.get(request) {
             Some(Closed::NeverStarted(refusal)) => return Err(refusal.clone()),
@@ -136,7 +136,7 @@
             Ok(()) => {
                 let expires = self.expires(&job);
                 self.queue.push(job, expires);
-                self.try_again_at = Some(now);
+                self.retry_placement_at = Some(now);
                 Ok(())
             }
             Err(refusal) => {
@@ -146,13 +146,13 @@
         }
     }
 
-    /// Takes in what an engine did.
+    /// Applies an engine event.
     pub fn step(&mut self, event: EngineEvent, now: Timestamp) {
         if !matches!(event, EngineEvent::Progress { .. }) {
-            self.try_again_at = Some(now);
+            self.retry_placement_at = Some(now);
         }
         match event {
-            EngineEvent::PrefillDone { request } => self.prompt_read(request, now),
+            EngineEvent::PrefillDone { request } => self.prefill_done(request, now),
             EngineEvent::FirstToken { request } => self.first_token(request, now),
             EngineEvent::Progress { request, tokens } => self.progress(request, tokens),
             EngineEvent::Ended { request, outcome } => self.attempt_ended(request, outcome, now),
@@ -173,15 +173,15 @@
             }
             EngineEvent::CacheGap { engine } => {
                 if let Some(engine) = self.fleet.get_mut(&engine) {
-                    engine.prefixes.forget_all();
+                    engine.prefixes.clear();
                 }
             }
         }
     }
 
-    /// Withdraws a request. After `BeforeStart` no `End` follows: the answer is the end.
+    /// Revokes a request. No `End` follows the answer `BeforeStart`, which itself ends the request.
     pub fn revoke(&mut self, request: RequestId, now: Timestamp) -> Revocation {
-        self.closed.forget_old(now);
+        self.closed.remove_expired(now);
         if self.running.contains_key(&request) {
             self.cancel(request, CancelReason::Revoked);
             return Revocation::AfterStart;
@@ -200,22 +200,22 @@
         }
     }
 
-    /// Requests that have been placed on `engine` and have not ended. A prefill engine is done with a request once the
-    /// first token has come.
+    /// The number of requests that are placed on `engine` and have not ended. A request no longer counts on its prefill
+    /// engine once its first token has arrived.
     pub fn in_flight(&self, engine: &EngineName) -> usize {
         self.fleet.get(engine).map_or(0, |engine| engine.in_flight())
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// How busy the pool is, for gateways.
+    /// The load of the pool, as gateways use it.
     pub fn load(&self) -> PoolLoad {
-        let unread = self.running.values().filter(|running| !running.prompt_read).map(|running| &running.job);
+        let without_prefill = self.running.values().filter(|running| !running.prefill_done).map(|running| &running.job);
         let waiting_prefill: u64 =
-            self.queue.jobs().chain(unread).map(|job| u64::from(job.profile.prompt_tokens)).sum();
+            self.queue.jobs().chain(without_prefill).map(|job| u64::from(job.profile.prompt_tokens)).sum();
         PoolLoad {
             waiting_prefill_tokens: u32::try_from(waiting_prefill).unwrap_or(u32::MAX),
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
@@ -223,12 +223,12 @@
         }
     }
 
-    /// What the dispatcher has done so far.
+    /// Counts of the dispatcher's work since it was created.
     pub fn counters(&self) -> &DispatchCounters {
         &self.counters
     }
 
-    /// Outcomes by arm, when the placement policy is a trial.
+    /// Outcomes by arm, if the placement policy is a trial.
     pub fn arm_outcomes(&self) -> Vec<ArmOutcomes> {
         self.placement.arm_outcomes()
     }
@@ -236,38 +236,38 @@
     /// The demand on the pool, for a role policy.
     pub fn demand(&self, limits: &PoolLimits, now: Timestamp) -> PoolDemand {
         let jobs = self.queue.jobs().chain(self.running.values().map(|running| &running.job));
-        let unread = self.running.values().filter(|running| !running.prompt_read).map(|running| &running.job);
-        let unread = self.queue.jobs().chain(unread);
+        let without_prefill = self.running.values().filter(|running| !running.prefill_done).map(|running| &running.job);
+        let without_prefill = self.queue.jobs().chain(without_prefill);
         let backlog = PoolBacklog {
-            prefill_tokens: unread.map(|job| u64::from(job.profile.prompt_tokens)).sum(),
+            prefill_tokens: without_prefill.map(|job| u64::from(job.profile.prompt_tokens)).sum(),
             decode_tokens_allowed: jobs.map(|job| u64::from(job.output_tokens_left())).sum(),
         };
         self.demand.demand(limits, backlog, now)
     }
 
-    /// What to do now, in order.
+    /// Returns the actions to carry out now, in order.
     pub fn poll(&mut self, now: Timestamp) -> Vec<DispatchAction> {
         self.polled_at = now;
-        self.closed.forget_old(now);
+        self.closed.remove_expired(now);
         self.give_up_expired(now);
         self.cancel_overdue(now);
-        if self.try_again_at.is_some_and(|at| at <= now) {
+        if self.retry_placement_at.is_some_and(|at| at <= now) {
             self.place_waiting(now);
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Dispatcher::poll`] has to be called again even if nothing happens; always after the last poll.
+    /// When [`Dispatcher::poll`] has to be called again even without an event; always later than the last poll.
     pub fn next_poll(&self) -> Option<Timestamp> {
-        let room = self.try_again_at.filter(|at| *at > self.polled_at);
+        let retry = self.retry_placement_at.filter(|at| *at > self.polled_at);
         let overdue = self.running_by_deadline.first().map(|(deadline, _)| *deadline);
-        [room, overdue, self.queue.next_expiry()].into_iter().flatten().min()
+        [retry, overdue, self.queue.next_expiry()].into_iter().flatten().min()
     }
 
-    /// When a waiting job can no longer be started in time.
+    /// When it becomes too late to start a waiting job.
     pub(super) fn expires(&self, job: &Job) -> Timestamp {
         let reserve = job.first_token_within().mul_f64(self.config.deadline_reserve);
-        job.due() - reserve - job.read_time
+        job.due() - reserve - job.prefill_time
     }
 
     pub(super) fn stop_running(&mut self, request: RequestId, now: Timestamp) -> Option<Running> {
@@ -288,13 +288,13 @@
     fn new_job(&mut self, profile: RequestProfile, now: Timestamp) -> Job {
         let contract = self.contracts.get(&profile.contract);
         let terms = Terms::new(&profile, contract, now);
-        let read = self.fleet.shortest_reading(&profile);
-        self.demand.record_arrival(&profile, read.tokens, contract, now);
-        if read.tokens <= self.config.piece_tokens {
-            self.short_reading.add(f64::from(read.tokens), now);
+        let prefill = self.fleet.least_prefill(&profile);
+        self.demand.record_arrival(&profile, prefill.tokens, contract, now);
+        if prefill.tokens <= self.config.piece_tokens {
+            self.short_prompt_tokens.add(f64::from(prefill.tokens), now);
         }
         let generation = self.fleet.generation_time(&profile).mul_f64(self.demand.output_share());
-        Job::new(profile, terms, read.time, read.time + generation, now)
+        Job::new(profile, terms, prefill.time, prefill.time + generation, now)
     }
 
     fn admit(&mut self, job: &Job, now: Timestamp) -> Result<(), NotRun> {
@@ -322,9 +322,10 @@
         }
     }
 
-    /// Shares while the pool meets its demand; priority for a while after it had to give up requests.
+    /// Orders by shares while the pool meets its demand, and by priority for [`OVERLOAD_HOLD_TIME`] after it gave up a
+    /// request.
     pub(super) fn precedence(&self, now: Timestamp) -> Precedence {
-        let is_overloaded = |given_up_at: Timestamp| now.since(given_up_at) < OVERLOAD_MEMORY;
-        if self.given_up_at.is_some_and(is_overloaded) { Precedence::Priority } else { Precedence::Shares }
+        let is_overloaded = |last_given_up_at: Timestamp| now.since(last_given_up_at) < OVERLOAD_HOLD_TIME;
+        if self.last_given_up_at.is_some_and(is_overloaded) { Precedence::Priority } else { Precedence::Shares }
     }
 }
--- a/crates/core/src/dispatch/ending.rs
+++ b/crates/core/src/dispatch/ending.rs
@@ -1,4 +1,4 @@
-//! Gives requests up, cancels them, and ends each exactly once.
+//! Gives up and cancels requests, and ends each of them exactly once.
 
 use super::closed_requests::Closed;
 use super::dispatcher::{CancelReason, Dispatcher};
@@ -11,7 +11,7 @@
 use crate::world::EngineName;
 
 impl Dispatcher {
-    /// Ends a request for good.
+    /// Ends a request with its final verdict.
     pub(super) fn end(&mut self, job: &Job, verdict: Verdict, now: Timestamp) {
         let closed = match &verdict {
             Verdict::NotRun(refusal) => Closed::NeverStarted(refusal.clone()),
@@ -31,7 +31,7 @@
 
     pub(super) fn refuse(&mut self, job: &Job, refusal: NotRun, now: Timestamp) {
         self.counters.refused += 1;
-        self.given_up_at = Some(now);
+        self.last_given_up_at = Some(now);
         self.placement.record(&job.profile, RequestOutcome::NotRun);
         if self.has_room_for_one_more() {
             self.closed.insert(job.profile.id, Closed::NeverStarted(refusal), now);
@@ -42,14 +42,14 @@
         let retry_after = self.forecast(now).time_to_empty();
         let Some(job) = self.queue.remove(request) else { return };
         self.counters.shed += 1;
-        self.given_up_at = Some(now);
+        self.last_given_up_at = Some(now);
         self.give_up(&job, NotRun::retry_after(NotRunReason::DeadlineUnreachable, retry_after), now);
     }
 
     pub(super) fn give_up_expired(&mut self, now: Timestamp) {
         while let Some(job) = self.queue.pop_expired(now) {
             self.counters.expired += 1;
-            self.given_up_at = Some(now);
+            self.last_given_up_at = Some(now);
             let refusal = if job.terms.deadline <= now {
                 NotRun::new(NotRunReason::DeadlinePassed)
             } else {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Gives up all waiting requests, for another dispatcher to take: this one has lost its pool.
+    /// Gives up all waiting requests when this dispatcher has lost its pool, so that another dispatcher can run them.
     pub fn give_up_waiting(&mut self, reason: NotRunReason, now: Timestamp) {
         let waiting: Vec<RequestId> = self.queue.jobs().map(|job| job.profile.id).collect();
         for request in waiting {
@@ -100,8 +100,8 @@
         };
         running.cancelled = Some(reason);
         self.running_by_deadline.remove(&(running.job.terms.deadline, request));
-        let still_has_it = |engine: &&EngineName| !running.generating || **engine == running.placement.decode;
-        for engine in running.placement.engines().filter(still_has_it) {
+        let still_runs_it = |engine: &&EngineName| !running.generating || **engine == running.placement.decode;
+        for engine in running.placement.engines().filter(still_runs_it) {
             self.actions.push(DispatchAction::Cancel { request, engine: engine.clone() });
         }
     }
--- a/crates/core/src/dispatch/engine_state.rs
+++ b/crates/core/src/dispatch/engine_state.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of one engine: what it has placed there, and what that leaves room for.
+//! A dispatcher's state of one engine: the requests placed there and the remaining capacity.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use super::event::{EngineAvailability, EngineSlot, ReportedLoad};
 use super::health::EngineHealth;
 use super::job::Job;
-use super::load_correction::{ForeignLoad, LoadCorrection, OwnLoad};
+use super::load_correction::{ExternalLoad, LoadCorrection, OwnLoad};
 use super::prefill_backlog::PrefillBacklog;
 use super::prefix_index::PrefixIndex;
 use crate::policy::{EngineView, Stage};
@@ -16,10 +16,10 @@
 use crate::time::Timestamp;
 use crate::world::EngineRole;
 
-/// The clock of an engine's report may be off by this much besides the link.
+/// How far the time of an engine's report may be off, in addition to the link latency.
 const REPORT_UNCERTAINTY: Duration = Duration::from_millis(50);
 
-/// The part of a request that runs on one engine.
+/// The stage of a request that runs on one engine.
 #[derive(Clone, Debug)]
 struct Task {
     stage: Stage,
@@ -33,14 +33,14 @@
 }
 
 impl Task {
-    /// How long the stream may still stand still before it breaks its contract's token interval; `None` when that has
-    /// happened, so that there is nothing left to protect.
+    /// How long the stream may still be stalled before it violates its contract's token interval; `None` if it has
+    /// already violated it and needs no protection.
     fn slack(&self, step_time: Duration, output_counted_on: f64, now: Timestamp) -> Option<Duration> {
         let tokens_left = self.max_output_tokens.saturating_sub(self.generated);
-        let to_come = (f64::from(tokens_left) * output_counted_on) as u32;
-        let allowed = self.token_interval.saturating_mul((self.generated + to_come).max(1));
+        let expected_tokens = (f64::from(tokens_left) * output_counted_on) as u32;
+        let allowed = self.token_interval.saturating_mul((self.generated + expected_tokens).max(1));
         let taken = self.generating_since.map_or(Duration::ZERO, |since| now.since(since));
-        allowed.checked_sub(taken.saturating_add(step_time.saturating_mul(to_come)))
+        allowed.checked_sub(taken.saturating_add(step_time.saturating_mul(expected_tokens)))
     }
 }
 
@@ -57,8 +57,9 @@
     report_lifetime: Duration,
     backlog_maximum: u32,
     output_counted_on: f64,
-    /// The interference slack at a time; asked for once for each waiting request, and costly.
-    known_slack: Cell<Option<(Timestamp, Duration)>>,
+    /// The interference slack and the time it is valid for. It is cached because it is costly and needed for each
+    /// waiting request.
+    cached_slack: Cell<Option<(Timestamp, Duration)>>,
 }
 
 impl EngineState {
@@ -74,14 +75,14 @@
             report_lifetime: config.load_report_lifetime,
             backlog_maximum: config.prefill_backlog_tokens,
             output_counted_on: config.output_counted_on,
-            known_slack: Cell::new(None),
+            cached_slack: Cell::new(None),
         }
     }
 
-    /// Takes over what control says of the engine. An engine that can't serve loses its cache.
+    /// Applies the engine's description from pool control. The cache of an engine that can't serve counts as lost.
     pub(super) fn set_slot(&mut self, slot: EngineSlot) {
         if slot.availability == EngineAvailability::Unavailable {
-            self.prefixes.forget_all();
+            self.prefixes.clear();
         }
         self.slot = slot;
     }
@@ -90,15 +91,15 @@
         self.tasks.len()
     }
 
-    /// Whether it counts as capacity for `stage`: it takes new work, has the role and isn't ejected.
+    /// Whether it counts as capacity for `stage`: it accepts new work, its role serves the stage and it isn't ejected.
     pub(super) fn is_capacity(&self, stage: Stage) -> bool {
         self.slot.availability == EngineAvailability::Serving
             && serves(self.slot.role, stage)
             && self.health.is_admitted()
     }
 
-    /// Whether it may be given this part of the request now.
-    pub(super) fn takes(&self, job: &Job, stage: Stage, now: Timestamp) -> bool {
+    /// Whether it can accept this stage of the request now.
+    pub(super) fn can_accept(&self, job: &Job, stage: Stage, now: Timestamp) -> bool {
         self.slot.availability == EngineAvailability::Serving
             && serves(self.slot.role, stage)
             && self.health.admits(job.terms.repeatable, now)
@@ -106,49 +107,49 @@
             && self.has_batch_room(job, stage, now)
             && self.has_memory_room(job, stage, now)
             && (stage == Stage::Decode || self.wait(now) <= self.wait_maximum())
-            && (stage == Stage::Decode || self.read_time(job) <= self.interference_slack(now))
+            && (stage == Stage::Decode || self.prefill_time(job) <= self.interference_slack(now))
     }
 
-    /// Whether it could be given any prompt at all now: cheaper to tell than whether it takes a certain request.
-    pub(super) fn may_read(&self, now: Timestamp) -> bool {
+    /// Whether it can accept any prompt at all now: cheaper than [`EngineState::can_accept`] for one request.
+    pub(super) fn can_accept_prompt(&self, now: Timestamp) -> bool {
         self.slot.availability == EngineAvailability::Serving
             && self.slot.role.serves_prefill()
             && self.health.admits(true, now)
-            && self.free_places(now) > 0
+            && self.free_batch_slots(now) > 0
             && self.wait(now) <= self.wait_maximum()
     }
 
-    /// Whether it would be given a request that needs nearly nothing: what it refuses then is refused for its size.
-    pub(super) fn takes_small_work(&self, stage: Stage, now: Timestamp) -> bool {
+    /// Whether it can accept a minimal request, so that a request that doesn't fit is refused for its size only.
+    pub(super) fn has_any_capacity(&self, stage: Stage, now: Timestamp) -> bool {
         let has_time = stage == Stage::Decode || self.wait(now) <= self.wait_maximum();
-        self.is_capacity(stage) && self.free_places(now) > 0 && has_time
+        self.is_capacity(stage) && self.free_batch_slots(now) > 0 && has_time
     }
 
-    /// Whether it reads a prompt of more than `tokens`, so that a short one placed there would wait behind it.
-    pub(super) fn reads_longer_than(&self, tokens: u32) -> bool {
+    /// Whether a prompt of more than `tokens` is pending here, behind which a short prompt would wait.
+    pub(super) fn has_prompt_longer_than(&self, tokens: u32) -> bool {
         self.backlog.has_longer_than(tokens)
     }
 
-    /// Requests that could still be added to the batch.
-    pub(super) fn free_places(&self, now: Timestamp) -> u32 {
-        let used = self.requests().saturating_add(self.foreign(now).requests);
+    /// The number of requests that can still be added to the batch.
+    pub(super) fn free_batch_slots(&self, now: Timestamp) -> u32 {
+        let used = self.requests().saturating_add(self.external(now).requests);
         self.slot.performance.batch_maximum.saturating_sub(used)
     }
 
-    /// Predicted time until it starts to read a prompt that is placed on it now.
+    /// Predicted time until the prefill of a prompt that is placed on it now begins.
     pub(super) fn wait(&self, now: Timestamp) -> Duration {
         self.backlog.wait(now)
     }
 
-    /// When its wait falls so far that it is given another prompt.
-    pub(super) fn next_room(&self) -> Option<Timestamp> {
-        let reads = self.is_capacity(Stage::Prefill) && !self.backlog.is_empty();
-        reads.then(|| self.backlog.falls_to(self.wait_maximum()))
+    /// When its predicted wait is short enough for another prompt.
+    pub(super) fn next_capacity(&self) -> Option<Timestamp> {
+        let is_prefilling = self.is_capacity(Stage::Prefill) && !self.backlog.is_empty();
+        is_prefilling.then(|| self.backlog.wait_falls_to(self.wait_maximum()))
     }
 
-    /// Prompt tokens read a second, next to the generation that goes on there.
-    pub(super) fn read_rate(&self, piece_tokens: u32) -> f64 {
-        let rate = self.slot.performance.prefill_tokens_per_second / self.backlog.pace();
+    /// Prefill rate in tokens per second, alongside the generation that runs there.
+    pub(super) fn prefill_rate(&self, piece_tokens: u32) -> f64 {
+        let rate = self.slot.performance.prefill_tokens_per_second / self.backlog.slowdown();
         let piece = f64::from(piece_tokens) / rate;
         let decoding = self.decoding();
         if decoding == 0 {
@@ -159,17 +160,17 @@
     }
 
     pub(super) fn view(&self, job: &Job, now: Timestamp) -> EngineView {
-        let foreign = self.foreign(now);
+        let external = self.external(now);
         let cached = self.prefixes.cached_tokens(&job.profile.blocks).min(job.profile.prompt_tokens);
         EngineView {
             name: self.slot.name.clone(),
             role: self.slot.role,
-            running: self.requests().saturating_add(foreign.requests),
+            running: self.requests().saturating_add(external.requests),
             decoding: self.decoding(),
             waiting_prefill_tokens: self.backlog.tokens(now),
             prefill_wait: self.wait(now),
             interference_slack: self.interference_slack(now),
-            reserved_kv_tokens: self.kv_tokens.saturating_add(foreign.kv_tokens),
+            reserved_kv_tokens: self.kv_tokens.saturating_add(external.kv_tokens),
             cached_prefix_tokens: cached,
             link_latency: self.slot.link_latency,
             performance: self.slot.performance,
@@ -177,7 +178,7 @@
     }
 
     pub(super) fn start(&mut self, job: &Job, stage: Stage, now: Timestamp) {
-        self.known_slack.set(None);
+        self.cached_slack.set(None);
         let cached = self.prefixes.cached_tokens(&job.profile.blocks);
         let uncached_tokens = if stage == Stage::Decode { 0 } else { job.profile.prompt_tokens.saturating_sub(cached) };
         let task = Task {
@@ -193,22 +194,22 @@
         self.health.start(job.profile.id);
         self.kv_tokens = self.kv_tokens.saturating_add(task.kv_tokens);
         if stage != Stage::Decode {
-            let read_time = self.slot.performance.read_time(uncached_tokens);
-            self.backlog.push(job.profile.id, uncached_tokens, read_time, now);
+            let prefill_time = self.slot.performance.read_time(uncached_tokens);
+            self.backlog.push(job.profile.id, uncached_tokens, prefill_time, now);
             self.prefixes.insert(&job.profile.blocks);
         }
         self.tasks.insert(job.profile.id, task);
         self.record_own(now);
     }
 
-    /// Notes that the prompt of a request has been read here.
-    pub(super) fn finish_reading(&mut self, request: RequestId, now: Timestamp) {
-        self.known_slack.set(None);
+    /// Records that the prefill of a request is done here.
+    pub(super) fn finish_prefill(&mut self, request: RequestId, now: Timestamp) {
+        self.cached_slack.set(None);
         self.backlog.finish(request, now);
     }
 
     pub(super) fn first_token(&mut self, request: RequestId, now: Timestamp) {
-        self.known_slack.set(None);
+        self.cached_slack.set(None);
         self.backlog.finish(request, now);
         if let Some(task) = self.tasks.get_mut(&request) {
             task.generating_since = Some(now);
@@ -216,7 +217,7 @@
     }
 
     pub(super) fn progress(&mut self, request: RequestId, tokens: u32) {
-        self.known_slack.set(None);
+        self.cached_slack.set(None);
         if let Some(task) = self.tasks.get_mut(&request) {
             task.generated = task.generated.saturating_add(tokens);
         }
@@ -224,27 +225,27 @@
 
     /// Removes a request from the engine's load.
     pub(super) fn end(&mut self, request: RequestId, now: Timestamp) {
-        self.known_slack.set(None);
+        self.cached_slack.set(None);
         let Some(task) = self.tasks.remove(&request) else { return };
         self.kv_tokens = self.kv_tokens.saturating_sub(task.kv_tokens);
         self.backlog.drop_request(request, now);
         self.record_own(now);
     }
 
-    /// Corrects the own knowledge by a late report: work of others, and prompts that are read faster or slower than
+    /// Corrects the local state by a delayed report: external load, and prefills that are faster or slower than
     /// predicted.
     pub(super) fn record_report(&mut self, report: &ReportedLoad, now: Timestamp) {
-        self.known_slack.set(None);
+        self.cached_slack.set(None);
         let uncertainty = REPORT_UNCERTAINTY + self.slot.link_latency;
         self.correction.record_report(report, uncertainty, now);
-        let arrived_later = |task: &&Task| task.placed_at + self.slot.link_latency > now - report.age;
-        let later: u32 = self.tasks.values().filter(arrived_later).map(|task| task.uncached_tokens).sum();
-        let unread = report.waiting_prefill_tokens.saturating_add(later);
-        self.backlog.correct(self.slot.performance.read_time(unread), report.age, now);
+        let arrived_after_report = |task: &&Task| task.placed_at + self.slot.link_latency > now - report.age;
+        let placed_later: u32 = self.tasks.values().filter(arrived_after_report).map(|task| task.uncached_tokens).sum();
+        let pending_tokens = report.waiting_prefill_tokens.saturating_add(placed_later);
+        self.backlog.correct(self.slot.performance.read_time(pending_tokens), report.age, now);
     }
 
     fn has_batch_room(&self, job: &Job, stage: Stage, now: Timestamp) -> bool {
-        if self.free_places(now) == 0 {
+        if self.free_batch_slots(now) == 0 {
             return false;
         }
         let generating = self.tasks.values().filter(|task| task.stage != Stage::Prefill);
@@ -255,7 +256,7 @@
     }
 
     fn has_memory_room(&self, job: &Job, stage: Stage, now: Timestamp) -> bool {
-        let used = self.kv_tokens.saturating_add(self.foreign(now).kv_tokens);
+        let used = self.kv_tokens.saturating_add(self.external(now).kv_tokens);
         used.saturating_add(kv_tokens(job, stage)) <= self.slot.performance.kv_capacity_tokens
     }
 
@@ -263,14 +264,14 @@
         self.slot.performance.read_time(self.backlog_maximum)
     }
 
-    /// How long another prompt may take to read before it breaks the token interval of a stream that runs here, or
-    /// will run once its prompt has been read. Prompts that wait already hold up the streams before them.
+    /// How long the prefill of another prompt may take before it violates the token interval of a stream that runs here
+    /// or will run after its prefill. The delay by prompts that are already pending is subtracted.
     fn interference_slack(&self, now: Timestamp) -> Duration {
-        match self.known_slack.get() {
+        match self.cached_slack.get() {
             Some((at, slack)) if at == now => slack,
             _ => {
                 let slack = self.predict_interference_slack(now);
-                self.known_slack.set(Some((now, slack)));
+                self.cached_slack.set(Some((now, slack)));
                 slack
             }
         }
@@ -279,14 +280,14 @@
     fn predict_interference_slack(&self, now: Timestamp) -> Duration {
         let step_time = self.slot.performance.step_time_of(self.decoding() + 1);
         let slack_left = |(request, task): (&RequestId, &Task)| {
-            let held_up = self.backlog.read_after(*request).unwrap_or_else(|| self.wait(now));
-            Some(task.slack(step_time, self.output_counted_on, now)?.saturating_sub(held_up))
+            let delay = self.backlog.prefill_time_after(*request).unwrap_or_else(|| self.wait(now));
+            Some(task.slack(step_time, self.output_counted_on, now)?.saturating_sub(delay))
         };
         let streams = self.tasks.iter().filter(|(_, task)| task.stage != Stage::Prefill);
         streams.filter_map(slack_left).min().unwrap_or(Duration::MAX)
     }
 
-    fn read_time(&self, job: &Job) -> Duration {
+    fn prefill_time(&self, job: &Job) -> Duration {
         let cached = self.prefixes.cached_tokens(&job.profile.blocks);
         self.slot.performance.read_time(job.profile.prompt_tokens.saturating_sub(cached))
     }
@@ -300,8 +301,8 @@
         u32::try_from(decoding).unwrap_or(u32::MAX)
     }
 
-    fn foreign(&self, now: Timestamp) -> ForeignLoad {
-        self.correction.foreign(self.report_lifetime, now)
+    fn external(&self, now: Timestamp) -> ExternalLoad {
+        self.correction.external(self.report_lifetime, now)
     }
 
     fn record_own(&mut self, now: Timestamp) {
@@ -310,7 +311,7 @@
     }
 }
 
-/// Whether an engine of this role takes this part of a request.
+/// Whether an engine of this role serves this stage of a request.
 pub(super) fn serves(role: EngineRole, stage: Stage) -> bool {
     match stage {
         Stage::Prefill => role.serves_prefill(),
--- a/crates/core/src/dispatch/event.rs
+++ b/crates/core/src/dispatch/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a dispatcher and what comes out of it.
+//! Inputs and outputs of a dispatcher.
 
 use std::time::Duration;
 
@@ -6,43 +6,43 @@
 use crate::verdict::{MayHaveRun, Verdict};
 use crate::world::{EngineName, EnginePerformance, EngineRole};
 
-/// Whether an engine takes new work.
+/// Whether an engine accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineAvailability {
-    /// It takes new work.
+    /// The engine accepts new work.
     Serving,
-    /// It finishes what it has and takes nothing new, before a role change, a load or its leaving.
+    /// The engine finishes its requests and accepts no new ones, before a role change, a model load or its removal.
     Draining,
-    /// It can't serve: it is changing its role, loading, or lost.
+    /// The engine can't serve: it is changing its role, loading a model, or lost.
     Unavailable,
 }
 
-/// An engine of the pool, as control hands it to the dispatcher.
+/// An engine of the pool, as pool control describes it to the dispatcher.
 #[derive(Clone, Debug)]
 pub struct EngineSlot {
     /// The engine.
     pub name: EngineName,
-    /// Its role.
+    /// The engine's role.
     pub role: EngineRole,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub availability: EngineAvailability,
     /// One-way latency from the dispatcher.
     pub link_latency: Duration,
-    /// What the engine can do.
+    /// The engine's performance.
     pub performance: EnginePerformance,
 }
 
 /// The engines that a request runs on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// The engine that reads the prompt, when it is another than `decode`; the KV cache then moves by handle.
+    /// The engine that prefills the prompt, if it is another than `decode`; the KV cache is then moved by handle.
     pub prefill: Option<EngineName>,
     /// The engine that generates the answer.
     pub decode: EngineName,
 }
 
 impl Placement {
-    /// The engines of the placement, the one that reads the prompt first.
+    /// The engines of the placement, with the one that prefills the prompt first.
     pub fn engines(&self) -> impl Iterator<Item = &EngineName> {
         self.prefill.iter().chain([&self.decode])
     }
@@ -51,36 +51,36 @@
 /// How one attempt at a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came.
+    /// The answer is complete.
     Completed,
-    /// The engine refused the request, or it was never sent.
+    /// The engine refused the request, or the request was never sent.
     NotRun,
-    /// The request was sent and its answer is cut or lost.
+    /// The request was sent and its answer is truncated or lost.
     MayHaveRun(MayHaveRun),
 }
 
-/// An engine's load as the engine reports it, with a lag.
+/// An engine's load as the engine reports it, with a delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
     /// How old the figures are.
     pub age: Duration,
-    /// Requests that run or wait there, whoever sent them.
+    /// Requests that run or wait there, from all senders.
     pub requests: u32,
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens that wait for prefill.
     pub waiting_prefill_tokens: u32,
     /// Tokens of KV cache held by running requests.
     pub used_kv_tokens: u32,
 }
 
-/// What an engine did.
+/// An event at an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
-    /// The prompt has been read by the prefill engine of a split placement; its KV cache is about to move.
+    /// The prefill engine of a split placement has finished the prompt; its KV cache is about to move.
     PrefillDone {
         /// The request.
         request: RequestId,
     },
-    /// The prompt has been read and the first token was generated.
+    /// Prefill is done and the first token was generated.
     FirstToken {
         /// The request.
         request: RequestId,
@@ -99,11 +99,11 @@
         /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// The engine reports its load as it was a while ago.
+    /// The engine reports a past load; [`ReportedLoad::age`] says how old it is.
     Load {
         /// The engine.
         engine: EngineName,
-        /// What it reports.
+        /// The reported load.
         load: ReportedLoad,
     },
     /// The engine reports that it has cached these prefixes.
@@ -120,53 +120,53 @@
         /// Prefixes, by the hash of their last block.
         blocks: Vec<BlockHash>,
     },
-    /// Cache events of the engine were lost: what is believed to be cached there is no longer known.
+    /// Cache events of the engine were lost, so the estimate of its cached prefixes is no longer valid.
     CacheGap {
         /// The engine.
         engine: EngineName,
     },
 }
 
-/// What the caller of the dispatcher must do.
+/// An action that the owner of the dispatcher must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchAction {
     /// Run the request on the engines of the placement.
     Start {
         /// The request.
         request: RequestId,
-        /// Where it runs.
+        /// The engines that run it.
         placement: Placement,
-        /// Counts the attempts at the request, from 1.
+        /// The number of this attempt at the request, from 1.
         attempt: u32,
-        /// Tokens of the answer that the caller already has from an earlier attempt; generation goes on after them.
+        /// Tokens of the answer that the caller already has from an earlier attempt; generation resumes after them.
         resume_from: u32,
     },
-    /// Tell the gateway how the request ended; the dispatcher has forgotten it.
+    /// Report to the gateway how the request ended; the dispatcher has closed it.
     End {
         /// The request.
         request: RequestId,
         /// Its final verdict.
         verdict: Verdict,
     },
-    /// Cancel the request at an engine; one [`EngineEvent::Ended`] for the request still has to follow.
+    /// Cancel the request at an engine; one [`EngineEvent::Ended`] for the request must still follow.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The engine that has the request, or a part of it.
+        /// The engine that runs the request or a stage of it.
         engine: EngineName,
     },
 }
 
 /// The answer to a revocation.
 ///
-/// It is an answer about this dispatcher's life only: the caller must know that the dispatcher is the one, in the same
-/// life, to which it sent the request.
+/// It is valid for this incarnation of the dispatcher only: the caller must know that it sent the request to the same
+/// incarnation of the same dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Revocation {
-    /// The request has not started and never will, even if it arrives later.
+    /// The request has not started and never starts, even if it arrives later.
     BeforeStart,
     /// The request had started, or has ended after its start; if it still runs, it is being cancelled.
     AfterStart,
-    /// The dispatcher doesn't know the request and has no room to remember that it must not start: it may run.
+    /// The dispatcher doesn't know the request and has no room to record that it must not start: it may still run.
     Unknown,
 }
--- a/crates/core/src/dispatch/fair_queue.rs
+++ b/crates/core/src/dispatch/fair_queue.rs
@@ -1,15 +1,17 @@
-//! The queue of a dispatcher: start-time fair queueing between flows, short work first within a flow.
+//! The queue of a dispatcher: start-time fair queueing between flows, short requests first within a flow.
 //!
-//! A flow is the requests of one tenant under one contract at one priority. Between flows the order is that of
-//! start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queueing", SIGCOMM 1996), with predicted engine time as
-//! the length of a request: the flow with the lowest start tag goes next, and what it hands out moves its tag by
-//! length / weight. While two flows both have waiting requests, what they were handed, each divided by its weight,
-//! differs by at most the longest request of the one divided by its weight plus the same of the other.
+//! A flow consists of the requests of one tenant under one contract at one priority. Flows are ordered by start-time
+//! fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queueing", SIGCOMM 1996), with predicted engine time as the
+//! length of a request: the flow with the lowest start tag is served next, and each request that it starts raises its
+//! tag by length / weight. While two flows both have waiting requests, their started work, each divided by its weight,
+//! differs by at most the longest request of the one divided by its weight plus the same for the other.
 //!
-//! While demand exceeds the pool, flows of a higher priority go first, and the bound holds among flows of one priority.
+//! While demand exceeds the pool's capacity, flows of a higher priority are served first, and the bound holds among
+//! flows of the same priority.
 //!
-//! Within a flow a request's turn is its arrival plus a multiple of its length, capped by a share of its time to the
-//! first token. So a request waits behind those of its flow that arrive before its turn only: long work can't starve.
+//! Within a flow a request is ordered by its arrival time plus a multiple of its length, which is capped by a share of
+//! its time to the first token. So a request waits only behind requests of its flow that arrive before that time, and
+//! long requests can't starve.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,7 +21,7 @@
 use crate::time::Timestamp;
 use crate::world::{ContractName, TenantName};
 
-/// Requests that share a place in the order between flows.
+/// Identifies a flow.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FlowKey {
     pub(super) priority: u8,
@@ -27,46 +29,46 @@
     pub(super) tenant: TenantName,
 }
 
-/// A request's place within its flow.
+/// A request's sort key within its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Turn {
+pub(super) struct SortKey {
     at: Timestamp,
     request: RequestId,
 }
 
 #[derive(Debug, Default)]
 struct Flow {
-    /// In seconds of engine time per unit of weight.
+    /// Virtual time, in seconds of engine time per unit of weight.
     start_tag: f64,
     weight: f64,
-    /// Summed over the waiting jobs.
+    /// Total work of the waiting jobs.
     work: Duration,
-    read_time: Duration,
-    jobs: BTreeMap<Turn, Job>,
+    prefill_time: Duration,
+    jobs: BTreeMap<SortKey, Job>,
 }
 
-/// What comes first in the order between flows.
+/// The first criterion in the order of flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Precedence {
-    /// The start tags only: all flows get their weighted share.
+    /// Start tags only: all flows get their weighted share.
     Shares,
-    /// The priority, and start tags among flows of one priority: for the time that demand exceeds the pool.
+    /// Priority, then start tags among flows of the same priority: used while demand exceeds the pool's capacity.
     Priority,
 }
 
-/// What is predicted to be handed out before a request.
+/// The work that is predicted to start before a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Ahead {
-    /// Engine time to read the prompts.
-    pub(super) read_time: Duration,
-    /// Requests.
+pub(super) struct WorkAhead {
+    /// Engine time to prefill the prompts.
+    pub(super) prefill_time: Duration,
+    /// Number of requests.
     pub(super) requests: f64,
 }
 
 #[derive(Debug)]
-struct Place {
+struct QueueEntry {
     flow: FlowKey,
-    turn: Turn,
+    sort_key: SortKey,
     expires: Timestamp,
 }
 
@@ -75,10 +77,10 @@
 pub(super) struct FairQueue {
     stretch: f64,
     patience: f64,
-    /// The start tag of the request that was handed out last.
+    /// The highest start tag of the requests started so far.
     virtual_time: f64,
     flows: BTreeMap<FlowKey, Flow>,
-    places: BTreeMap<RequestId, Place>,
+    entries: BTreeMap<RequestId, QueueEntry>,
     by_expiry: BTreeSet<(Timestamp, RequestId)>,
 }
 
@@ -89,76 +91,76 @@
             patience,
             virtual_time: 0.0,
             flows: BTreeMap::new(),
-            places: BTreeMap::new(),
+            entries: BTreeMap::new(),
             by_expiry: BTreeSet::new(),
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.entries.is_empty()
     }
 
     pub(super) fn contains(&self, request: RequestId) -> bool {
-        self.places.contains_key(&request)
+        self.entries.contains_key(&request)
     }
 
-    /// Puts a job into its flow. `expires` is when it can no longer be started in time.
+    /// Adds a job to its flow. `expires` is when it becomes too late to start it.
     pub(super) fn push(&mut self, job: Job, expires: Timestamp) {
         let request = job.profile.id;
         let key = flow_key(&job);
-        let turn = self.turn(&job);
+        let sort_key = self.sort_key(&job);
         let flow = self.flows.entry(key.clone()).or_default();
         if flow.jobs.is_empty() {
             flow.start_tag = flow.start_tag.max(self.virtual_time);
             flow.weight = f64::from(job.terms.weight);
         }
         flow.work += job.work;
-        flow.read_time += job.read_time;
-        flow.jobs.insert(turn, job);
-        self.places.insert(request, Place { flow: key, turn, expires });
+        flow.prefill_time += job.prefill_time;
+        flow.jobs.insert(sort_key, job);
+        self.entries.insert(request, QueueEntry { flow: key, sort_key, expires });
         self.by_expiry.insert((expires, request));
     }
 
-    /// The waiting requests in the order in which they should be started, at most `per_flow` of each flow. When one
-    /// can't be placed, the next may be.
+    /// The waiting requests in the order in which they should be started, at most `per_flow` of each flow. If one
+    /// can't be placed, the next one may be.
     pub(super) fn order(&self, per_flow: usize, precedence: Precedence) -> Vec<RequestId> {
         let mut flows: Vec<(&FlowKey, &Flow)> = self.flows.iter().filter(|(_, flow)| !flow.jobs.is_empty()).collect();
         flows.sort_by(|left, right| left.1.start_tag.total_cmp(&right.1.start_tag));
         if precedence == Precedence::Priority {
             flows.sort_by_key(|(key, _)| std::cmp::Reverse(key.priority));
         }
-        flows.iter().flat_map(|(_, flow)| flow.jobs.keys().take(per_flow).map(|turn| turn.request)).collect()
+        flows.iter().flat_map(|(_, flow)| flow.jobs.keys().take(per_flow).map(|sort_key| sort_key.request)).collect()
     }
 
     pub(super) fn get(&self, request: RequestId) -> Option<&Job> {
-        let place = self.places.get(&request)?;
-        self.flows.get(&place.flow)?.jobs.get(&place.turn)
+        let entry = self.entries.get(&request)?;
+        self.flows.get(&entry.flow)?.jobs.get(&entry.sort_key)
     }
 
-    /// The waiting requests, in no order that matters.
+    /// The waiting requests, in unspecified order.
     pub(super) fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.flows.values().flat_map(|flow| flow.jobs.values())
     }
 
-    /// Takes a job out to start it; its flow pays for it.
+    /// Removes a job to start it, and raises its flow's start tag.
     pub(super) fn start(&mut self, request: RequestId) -> Option<Job> {
-        let key = self.places.get(&request)?.flow.clone();
+        let key = self.entries.get(&request)?.flow.clone();
         let job = self.take(request)?;
         let flow = self.flows.get_mut(&key)?;
         self.virtual_time = self.virtual_time.max(flow.start_tag);
         flow.start_tag += job.work.as_secs_f64() / flow.weight;
-        self.forget_idle_flows();
+        self.remove_idle_flows();
         Some(job)
     }
 
-    /// Takes a job out that won't be started.
+    /// Removes a job that won't be started.
     pub(super) fn remove(&mut self, request: RequestId) -> Option<Job> {
         let job = self.take(request);
-        self.forget_idle_flows();
+        self.remove_idle_flows();
         job
     }
 
@@ -167,7 +169,7 @@
         self.by_expiry.first().map(|(expires, _)| *expires)
     }
 
-    /// Takes out the next job that has expired.
+    /// Removes the next job that has expired.
     pub(super) fn pop_expired(&mut self, now: Timestamp) -> Option<Job> {
         let &(expires, request) = self.by_expiry.first()?;
         if expires > now {
@@ -176,81 +178,80 @@
         self.remove(request)
     }
 
-    /// The request to give up first so that others make their deadlines: of the lowest priority below `priority`, the
-    /// one that has least time to spare.
+    /// The request to shed first so that others meet their deadlines: of the lowest priority below `priority`, the one
+    /// that expires first.
     pub(super) fn first_to_shed(&self, priority: u8) -> Option<RequestId> {
         let lowest = self.flows.iter().find(|(_, flow)| !flow.jobs.is_empty()).map(|(key, _)| key.priority)?;
         if lowest >= priority {
             return None;
         }
         let of_lowest = |request: &&(Timestamp, RequestId)| {
-            self.places.get(&request.1).is_some_and(|place| place.flow.priority == lowest)
+            self.entries.get(&request.1).is_some_and(|entry| entry.flow.priority == lowest)
         };
         self.by_expiry.iter().find(of_lowest).map(|(_, request)| *request)
     }
 
-    /// What goes before `job` if it is put into the queue now, counting flows of at least `priority` only.
+    /// The work that precedes `job` if it is queued now, counting only flows of at least `priority`.
     ///
-    /// The requests of its own flow with an earlier turn go first; while these and the job are handed out, each other
-    /// flow is handed at most its share and one request more.
-    pub(super) fn ahead_of(&self, job: &Job, priority: u8) -> Ahead {
+    /// Requests of its own flow with a lower sort key precede it; while these and the job are started, each other flow
+    /// starts at most its share and one more request.
+    pub(super) fn work_ahead_of(&self, job: &Job, priority: u8) -> WorkAhead {
         let own_key = flow_key(job);
-        let turn = self.turn(job);
-        let mut ahead = Ahead::default();
+        let sort_key = self.sort_key(job);
+        let mut ahead = WorkAhead::default();
         let mut own_work = job.work;
         if let Some(own) = self.flows.get(&own_key) {
-            for earlier in own.jobs.range(..turn).map(|(_, earlier)| earlier) {
-                ahead.read_time += earlier.read_time;
+            for earlier in own.jobs.range(..sort_key).map(|(_, earlier)| earlier) {
+                ahead.prefill_time += earlier.prefill_time;
                 ahead.requests += 1.0;
                 own_work += earlier.work;
             }
         }
         let own_share = own_work.as_secs_f64() / f64::from(job.terms.weight);
         for (_, flow) in self.flows.iter().filter(|(key, _)| **key != own_key && key.priority >= priority) {
-            let handed = flow.share_handed_during(own_share);
-            ahead.read_time += flow.read_time.mul_f64(handed);
-            ahead.requests += flow.jobs.len() as f64 * handed;
+            let started = flow.share_started_during(own_share);
+            ahead.prefill_time += flow.prefill_time.mul_f64(started);
+            ahead.requests += flow.jobs.len() as f64 * started;
         }
         ahead
     }
 
-    /// Engine time to read the prompts of all waiting requests.
-    pub(super) fn read_time(&self) -> Duration {
-        self.flows.values().map(|flow| flow.read_time).sum()
+    /// Engine time to prefill the prompts of all waiting requests.
+    pub(super) fn prefill_time(&self) -> Duration {
+        self.flows.values().map(|flow| flow.prefill_time).sum()
     }
 
-    fn turn(&self, job: &Job) -> Turn {
-        let put_back = job.work.mul_f64(self.stretch).min(job.first_token_within().mul_f64(self.patience));
-        Turn { at: job.arrived + put_back, request: job.profile.id }
+    fn sort_key(&self, job: &Job) -> SortKey {
+        let delay = job.work.mul_f64(self.stretch).min(job.first_token_within().mul_f64(self.patience));
+        SortKey { at: job.arrived + delay, request: job.profile.id }
     }
 
     fn take(&mut self, request: RequestId) -> Option<Job> {
-        let place = self.places.remove(&request)?;
-        self.by_expiry.remove(&(place.expires, request));
-        let flow = self.flows.get_mut(&place.flow)?;
-        let job = flow.jobs.remove(&place.turn)?;
+        let entry = self.entries.remove(&request)?;
+        self.by_expiry.remove(&(entry.expires, request));
+        let flow = self.flows.get_mut(&entry.flow)?;
+        let job = flow.jobs.remove(&entry.sort_key)?;
         flow.work = flow.work.saturating_sub(job.work);
-        flow.read_time = flow.read_time.saturating_sub(job.read_time);
+        flow.prefill_time = flow.prefill_time.saturating_sub(job.prefill_time);
         Some(job)
     }
 
-    /// A flow without waiting requests is kept only while its tag lies ahead: so it can't gain by leaving and coming
-    /// back. With an empty queue there is no contention, and all start anew.
-    fn forget_idle_flows(&mut self) {
+    /// Removes flows without waiting requests, except while their start tag is ahead of the virtual time: so a flow
+    /// can't gain by emptying and returning. With an empty queue there is no contention, and all flows are removed.
+    fn remove_idle_flows(&mut self) {
         let virtual_time = self.virtual_time;
-        let contended = !self.places.is_empty();
+        let contended = !self.entries.is_empty();
         self.flows.retain(|_, flow| !flow.jobs.is_empty() || contended && flow.start_tag > virtual_time);
     }
 }
 
 impl Flow {
-    /// The share of this flow's waiting work that is handed out while another flow is handed `work` for each unit of
-    /// its weight.
-    fn share_handed_during(&self, work: f64) -> f64 {
+    /// The share of this flow's waiting work that is started while another flow starts `work` per unit of its weight.
+    fn share_started_during(&self, work: f64) -> f64 {
         let Some(first) = self.jobs.values().next() else { return 0.0 };
-        let handed = work * self.weight + first.work.as_secs_f64();
+        let started = work * self.weight + first.work.as_secs_f64();
         let waiting = self.work.as_secs_f64();
-        if handed < waiting { handed / waiting } else { 1.0 }
+        if started < waiting { started / waiting } else { 1.0 }
     }
 }
 
--- a/crates/core/src/dispatch/fleet.rs
+++ b/crates/core/src/dispatch/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of a pool, and the choice of those that take a request.
+//! The engines of a pool, and the choice of engines for a request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 use crate::time::Timestamp;
 use crate::world::{EngineName, EngineRole};
 
-/// What has to be read of a prompt.
+/// The uncached part of a prompt, which an engine has to prefill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Reading {
+pub(super) struct PrefillWork {
     pub(super) time: Duration,
     pub(super) tokens: u32,
 }
@@ -26,7 +26,7 @@
 }
 
 impl Fleet {
-    /// Replaces the engines. One that is gone is kept without new work until its requests have ended.
+    /// Replaces the engines. A removed engine gets no new work and is kept until its requests have ended.
     pub(super) fn set_slots(&mut self, slots: Vec<EngineSlot>, config: &DispatchConfig) {
         for engine in self.engines.values_mut() {
             let gone = EngineSlot { availability: EngineAvailability::Unavailable, ..engine.slot.clone() };
@@ -57,23 +57,23 @@
         self.engines.is_empty()
     }
 
-    /// Engines that take new work.
+    /// The number of engines that accept new work.
     pub(super) fn serving_engines(&self) -> u16 {
         let serving = self.engines.values().filter(|engine| engine.slot.availability == EngineAvailability::Serving);
         u16::try_from(serving.count()).unwrap_or(u16::MAX)
     }
 
-    /// Whether an engine that generates is left for a request that these have failed.
+    /// Whether an engine for decoding is left for a request that has failed on the engines `failed_at`.
     pub(super) fn has_engine_besides(&self, failed_at: &[EngineName]) -> bool {
         self.capacity(Stage::Decode).any(|engine| !failed_at.contains(&engine.slot.name))
     }
 
-    /// Whether any engine could be given a prompt now; without one, nothing can be started.
-    pub(super) fn may_read(&self, now: Timestamp) -> bool {
-        self.engines.values().any(|engine| engine.may_read(now))
+    /// Whether any engine can accept a prompt now; without one, no request can be started.
+    pub(super) fn can_accept_prompt(&self, now: Timestamp) -> bool {
+        self.engines.values().any(|engine| engine.can_accept_prompt(now))
     }
 
-    /// Whether any engine could ever hold the request's KV cache.
+    /// Whether the request's KV cache fits on any engine of the pool when that engine is empty.
     pub(super) fn could_hold(&self, job: &Job) -> bool {
         self.engines.values().any(|engine| job.kv_tokens() <= engine.slot.performance.kv_capacity_tokens)
     }
@@ -83,30 +83,32 @@
         self.engines.values().filter(move |engine| engine.is_capacity(stage))
     }
 
-    /// The least that has to be read of the prompt, on the engine that is believed to have most of it cached.
-    pub(super) fn shortest_reading(&self, profile: &RequestProfile) -> Reading {
-        let reading = |engine: &EngineState| {
+    /// The least prefill that the prompt needs: that on the engine estimated to have most of it cached.
+    pub(super) fn least_prefill(&self, profile: &RequestProfile) -> PrefillWork {
+        let prefill_work = |engine: &EngineState| {
             let cached = engine.prefixes.cached_tokens(&profile.blocks);
             let tokens = profile.prompt_tokens.saturating_sub(cached);
-            Reading { time: engine.slot.performance.read_time(tokens), tokens }
+            PrefillWork { time: engine.slot.performance.read_time(tokens), tokens }
         };
-        let unknown = Reading { time: Duration::ZERO, tokens: profile.prompt_tokens };
-        self.engines.values().map(reading).min().unwrap_or(unknown)
+        let unknown = PrefillWork { time: Duration::ZERO, tokens: profile.prompt_tokens };
+        self.engines.values().map(prefill_work).min().unwrap_or(unknown)
     }
 
-    /// Engine time to generate the whole answer, as a share of a full batch.
+    /// Engine time to generate the complete answer, as a share of a full batch.
     pub(super) fn generation_time(&self, profile: &RequestProfile) -> Duration {
         let time = |engine: &EngineState| engine.slot.performance.generation_time(profile.max_output_tokens);
         self.engines.values().map(time).min().unwrap_or_default()
     }
 
-    /// When something that is only predicted, not reported, makes room: a backlog falls or a probe is due.
-    pub(super) fn next_room_after(&self, now: Timestamp) -> Option<Timestamp> {
-        let times = |engine: &EngineState| engine.health.probe_times().into_iter().flatten().chain(engine.next_room());
+    /// The next time at which an engine is predicted, without a report, to accept work: its backlog has shrunk enough
+    /// or a probe is due.
+    pub(super) fn next_capacity_after(&self, now: Timestamp) -> Option<Timestamp> {
+        let times =
+            |engine: &EngineState| engine.health.probe_times().into_iter().flatten().chain(engine.next_capacity());
         self.engines.values().flat_map(times).filter(|at| *at > now).min()
     }
 
-    /// Chooses where the job runs, if an engine has room for it and is predicted to meet its deadline.
+    /// Chooses the engines for the job, if any have room for it and are predicted to meet its deadline.
     pub(super) fn choose(
         &self,
         job: &Job,
@@ -117,29 +119,29 @@
     ) -> Option<Placement> {
         let due = job.due() - job.first_token_within().mul_f64(config.deadline_reserve);
         let piece_tokens = config.piece_tokens;
-        let is_long = self.shortest_reading(&job.profile).tokens > piece_tokens;
-        let search = Search { fleet: self, job, is_long, limits, piece_tokens, due, now };
+        let is_long = self.least_prefill(&job.profile).tokens > piece_tokens;
+        let search = PlacementSearch { fleet: self, job, is_long, limits, piece_tokens, due, now };
         if is_long {
-            return search.split(policy).or_else(|| search.whole(policy));
+            return search.choose_split(policy).or_else(|| search.choose_whole(policy));
         }
         if search.split_is_faster() {
-            return search.split(policy).or_else(|| search.whole(policy));
+            return search.choose_split(policy).or_else(|| search.choose_whole(policy));
         }
-        search.whole(policy).or_else(|| search.split(policy))
+        search.choose_whole(policy).or_else(|| search.choose_split(policy))
     }
 
-    /// The engine to reserve for a job that is too large for what room there is, so that smaller ones don't take every
-    /// bit of room before there is enough of it. The engine with the fewest requests is empty soonest.
+    /// The engine to reserve for a job that is too large for the free capacity, so that smaller jobs don't use up
+    /// capacity as it becomes free. It is the engine with the fewest requests, which is expected to be empty first.
     pub(super) fn engine_to_reserve(&self, job: &Job, now: Timestamp) -> Option<EngineName> {
         let stage = if self.capacity(Stage::Whole).next().is_some() { Stage::Whole } else { Stage::Decode };
-        let refused_for_size =
-            |engine: &&EngineState| engine.takes_small_work(stage, now) && !job.failed_at.contains(&engine.slot.name);
+        let has_capacity =
+            |engine: &&EngineState| engine.has_any_capacity(stage, now) && !job.failed_at.contains(&engine.slot.name);
         let could_hold = |engine: &&EngineState| job.kv_tokens() <= engine.slot.performance.kv_capacity_tokens;
-        let engines = self.engines.values().filter(refused_for_size).filter(could_hold);
+        let engines = self.engines.values().filter(has_capacity).filter(could_hold);
         engines.min_by_key(|engine| engine.in_flight()).map(|engine| engine.slot.name.clone())
     }
 
-    /// Notes that a request starts.
+    /// Records that a request starts.
     pub(super) fn start(&mut self, job: &Job, placement: &Placement, now: Timestamp) {
         let generation = if placement.prefill.is_some() { Stage::Decode } else { Stage::Whole };
         if let Some(engine) = placement.prefill.as_ref().and_then(|prefill| self.engines.get_mut(prefill)) {
@@ -150,10 +152,10 @@
         }
     }
 
-    /// Notes that the prompt has been read and its KV cache has been moved: the prefill engine is done with it.
+    /// Records that prefill is done and the KV cache has moved: the request leaves its prefill engine.
     pub(super) fn first_token(&mut self, request: RequestId, placement: &Placement, now: Timestamp) {
         if let Some(engine) = placement.prefill.as_ref().and_then(|prefill| self.engines.get_mut(prefill)) {
-            engine.finish_reading(request, now);
+            engine.finish_prefill(request, now);
             engine.end(request, now);
         }
         if let Some(engine) = self.engines.get_mut(&placement.decode) {
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Notes that a request runs nowhere any longer.
+    /// Records that a request no longer runs on any engine.
     pub(super) fn end(&mut self, request: RequestId, placement: &Placement, now: Timestamp) {
         for name in placement.engines() {
             if let Some(engine) = self.engines.get_mut(name) {
@@ -177,75 +179,76 @@
     }
 }
 
-/// An engine that is kept free of other work until a request that needs much room has it.
+/// An engine that accepts no other work until a large request is placed on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Reservation {
     pub(super) request: RequestId,
     pub(super) engine: EngineName,
 }
 
-/// What a placement has to leave room for.
+/// Capacity that a placement must leave free.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct PlacementLimits {
-    /// The engine that is kept for one request.
+    /// The engine that is reserved for one request.
     pub(super) reservation: Option<Reservation>,
-    /// Engines that must stay free of long prompts, so that short ones needn't wait behind them.
-    pub(super) readers_for_short: usize,
+    /// The number of engines that must stay free of long prompts, so that short prompts don't queue behind them.
+    pub(super) engines_for_short_prompts: usize,
 }
 
 /// The search for a placement of one job.
-struct Search<'a> {
+struct PlacementSearch<'a> {
     fleet: &'a Fleet,
     job: &'a Job,
-    /// Whether reading the prompt takes more than one piece, wherever it is read.
+    /// Whether the prefill of the prompt takes more than one piece on every engine.
     is_long: bool,
     limits: &'a PlacementLimits,
     piece_tokens: u32,
-    /// When the first token has to come, less the reserve.
+    /// The deadline of the first token, less the reserve.
     due: Timestamp,
     now: Timestamp,
 }
 
-impl Search<'_> {
-    fn whole(&self, policy: &mut dyn PlacementPolicy) -> Option<Placement> {
+impl PlacementSearch<'_> {
+    fn choose_whole(&self, policy: &mut dyn PlacementPolicy) -> Option<Placement> {
         let candidates = self.candidates(Stage::Whole);
         let chosen = policy.choose(&self.job.profile, Stage::Whole, &candidates, self.now)?;
         Some(Placement { prefill: None, decode: candidates.get(chosen)?.name.clone() })
     }
 
-    fn split(&self, policy: &mut dyn PlacementPolicy) -> Option<Placement> {
-        let readers = self.readers();
-        let mut generators = self.candidates(Stage::Decode);
-        if readers.is_empty() || generators.is_empty() {
+    fn choose_split(&self, policy: &mut dyn PlacementPolicy) -> Option<Placement> {
+        let prefill_engines = self.prefill_engines();
+        let mut decode_engines = self.candidates(Stage::Decode);
+        if prefill_engines.is_empty() || decode_engines.is_empty() {
             return None;
         }
-        let reader = readers.get(policy.choose(&self.job.profile, Stage::Prefill, &readers, self.now)?)?;
-        generators.retain(|generator| generator.name != reader.name);
-        let generator = policy.choose(&self.job.profile, Stage::Decode, &generators, self.now)?;
-        let decode = generators.get(generator)?.name.clone();
-        Some(Placement { prefill: Some(reader.name.clone()), decode })
+        let prefill_engine =
+            prefill_engines.get(policy.choose(&self.job.profile, Stage::Prefill, &prefill_engines, self.now)?)?;
+        decode_engines.retain(|decode_engine| decode_engine.name != prefill_engine.name);
+        let decode_engine = policy.choose(&self.job.profile, Stage::Decode, &decode_engines, self.now)?;
+        let decode = decode_engines.get(decode_engine)?.name.clone();
+        Some(Placement { prefill: Some(prefill_engine.name.clone()), decode })
     }
 
-    /// Engines that could read the prompt for another one: prefill engines, or mixed ones when only they can feed the
-    /// decode engines.
-    fn readers(&self) -> Vec<EngineView> {
+    /// Engines that could prefill the prompt for another engine: prefill engines, or mixed engines if the pool has
+    /// decode engines but no prefill engine.
+    fn prefill_engines(&self) -> Vec<EngineView> {
         let has_prefill_engine = self.fleet.serving(EngineRole::Prefill);
         if !has_prefill_engine && !self.fleet.serving(EngineRole::Decode) {
             return Vec::new();
         }
-        let mut readers = self.candidates(Stage::Prefill);
-        readers.retain(|reader| !has_prefill_engine || reader.role == EngineRole::Prefill);
-        readers
+        let mut prefill_engines = self.candidates(Stage::Prefill);
+        prefill_engines.retain(|prefill_engine| !has_prefill_engine || prefill_engine.role == EngineRole::Prefill);
+        prefill_engines
     }
 
-    /// Whether the first token is predicted to come sooner with the prompt read elsewhere than on any one engine.
+    /// Whether the first token is predicted to arrive sooner with prefill on a separate engine than on any one engine.
     fn split_is_faster(&self) -> bool {
-        let Some(split) = self.soonest(&self.readers(), Stage::Prefill) else { return false };
-        let Some(whole) = self.soonest(&self.candidates(Stage::Whole), Stage::Whole) else { return true };
+        let Some(split) = self.fastest_first_token(&self.prefill_engines(), Stage::Prefill) else { return false };
+        let Some(whole) = self.fastest_first_token(&self.candidates(Stage::Whole), Stage::Whole) else { return true };
         split + self.transfer_time() < whole
     }
 
-    fn soonest(&self, views: &[EngineView], stage: Stage) -> Option<Duration> {
+    fn fastest_first_token(&self, views: &[EngineView], stage: Stage) -> Option<Duration> {
         views.iter().map(|view| view.time_to_first_token(&self.job.profile, stage)).min()
     }
 
@@ -254,13 +257,13 @@
         self.fleet.engines.values().map(transfer).max().unwrap_or_default()
     }
 
-    /// Whether enough engines stay free of long prompts when one more engine gets one. A pool with a single reader has
-    /// no choice.
-    fn leaves_readers_for_short(&self) -> bool {
-        let readers = self.fleet.capacity(Stage::Prefill).count();
-        let reads_long = |engine: &&EngineState| engine.reads_longer_than(self.piece_tokens);
-        let reading_long = self.fleet.capacity(Stage::Prefill).filter(reads_long).count();
-        reading_long == 0 || reading_long + 1 + self.limits.readers_for_short <= readers
+    /// Whether enough engines stay free of long prompts if one more engine gets one. It holds if no engine has a long
+    /// prompt, so that a pool with a single prefill engine can run one.
+    fn leaves_engines_for_short_prompts(&self) -> bool {
+        let prefill_engines = self.fleet.capacity(Stage::Prefill).count();
+        let has_long_prompt = |engine: &&EngineState| engine.has_prompt_longer_than(self.piece_tokens);
+        let with_long_prompt = self.fleet.capacity(Stage::Prefill).filter(has_long_prompt).count();
+        with_long_prompt == 0 || with_long_prompt + 1 + self.limits.engines_for_short_prompts <= prefill_engines
     }
 
     fn is_reserved_for_another(&self, engine: &EngineName) -> bool {
@@ -270,12 +273,12 @@
             .is_some_and(|reservation| reservation.engine == *engine && reservation.request != self.job.profile.id)
     }
 
-    /// The engines that have room for this stage and are predicted to meet the deadline.
+    /// The engines that have room for `stage` and are predicted to meet the deadline.
     fn candidates(&self, stage: Stage) -> Vec<EngineView> {
-        let has_room = self.fleet.engines.values().filter(|engine| engine.takes(self.job, stage, self.now));
+        let has_room = self.fleet.engines.values().filter(|engine| engine.can_accept(self.job, stage, self.now));
         let has_room = has_room.filter(|engine| !self.is_reserved_for_another(&engine.slot.name));
-        let leaves_readers = stage == Stage::Decode || !self.is_long || self.leaves_readers_for_short();
-        let has_room = has_room.filter(|engine| leaves_readers || engine.reads_longer_than(self.piece_tokens));
+        let leaves_engines = stage == Stage::Decode || !self.is_long || self.leaves_engines_for_short_prompts();
+        let has_room = has_room.filter(|engine| leaves_engines || engine.has_prompt_longer_than(self.piece_tokens));
         let mut views: Vec<EngineView> = has_room.map(|engine| engine.view(self.job, self.now)).collect();
         let transfer_time = if stage == Stage::Prefill { self.transfer_time() } else { Duration::ZERO };
         views.retain(|view| self.now + view.time_to_first_token(&self.job.profile, stage) + transfer_time <= self.due);
--- a/crates/core/src/dispatch/health.rs
+++ b/crates/core/src/dispatch/health.rs
@@ -8,14 +8,14 @@
 /// When a failing engine is ejected, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthConfig {
-    /// Failures in a row that eject an engine.
+    /// Consecutive failures that eject an engine.
     pub consecutive_failures: u32,
-    /// The share of failures among the last attempts that ejects an engine, from 0 to 1: it catches engines that fail
+    /// The share of failures among the last attempts that ejects an engine, from 0 to 1. It detects engines that fail
     /// often but not always.
     pub failure_share: f64,
-    /// The fewest attempts before the share counts, at most 32.
+    /// The number of attempts from which on `failure_share` is evaluated, at most 32.
     pub share_attempts_minimum: u32,
-    /// How long an engine is ejected the first time; it doubles with each failed probe.
+    /// How long an engine is ejected the first time; the time doubles with each failed probe.
     pub back_off_minimum: Duration,
     /// The longest time between two probes.
     pub back_off_maximum: Duration,
@@ -34,32 +34,32 @@
 }
 
 impl HealthConfig {
-    /// Whether the limits make sense.
+    /// Whether the limits are valid.
     pub fn is_valid(&self) -> bool {
         self.consecutive_failures > 0
             && self.failure_share > 0.0
-            && (1..=ATTEMPTS_REMEMBERED).contains(&self.share_attempts_minimum)
+            && (1..=ATTEMPTS_RECORDED).contains(&self.share_attempts_minimum)
             && !self.back_off_minimum.is_zero()
             && self.back_off_minimum <= self.back_off_maximum
     }
 }
 
-const ATTEMPTS_REMEMBERED: u32 = u32::BITS;
+const ATTEMPTS_RECORDED: u32 = u32::BITS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Admitted,
     Ejected { until: Timestamp, back_off: Duration },
-    Probed { by: RequestId, back_off: Duration },
+    Probing { probe: RequestId, back_off: Duration },
 }
 
-/// The health of one engine, as its attempts show it.
+/// The health of one engine, derived from the outcomes of its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct EngineHealth {
     config: HealthConfig,
     state: State,
     consecutive_failures: u32,
-    /// One bit for each of the last attempts, set when it failed; the newest is the lowest.
+    /// One bit per recent attempt, set if it failed; the lowest bit is the newest attempt.
     recent_failures: u32,
     recent_attempts: u32,
 }
@@ -69,15 +69,15 @@
         EngineHealth { config, state: State::Admitted, consecutive_failures: 0, recent_failures: 0, recent_attempts: 0 }
     }
 
-    /// Whether the engine may be given a request now.
+    /// Whether a request may be placed on the engine now.
     ///
     /// An ejected engine gets one request at a time as a probe. A request that must not be repeated would be lost with
-    /// a failed probe, so it serves as one only after twice the back-off, when no repeatable request has come.
+    /// a failed probe, so it is used as a probe only after twice the back-off, if no repeatable request has arrived.
     pub(super) fn admits(&self, repeatable: bool, now: Timestamp) -> bool {
         match self.state {
             State::Admitted => true,
             State::Ejected { until, back_off } => now >= if repeatable { until } else { until + back_off },
-            State::Probed { .. } => false,
+            State::Probing { .. } => false,
         }
     }
 
@@ -86,7 +86,7 @@
         self.state == State::Admitted
     }
 
-    /// When an ejected engine may be probed, by a repeatable request and by any.
+    /// When an ejected engine may be probed: first by a repeatable request, then by any request.
     pub(super) fn probe_times(&self) -> Option<[Timestamp; 2]> {
         match self.state {
             State::Ejected { until, back_off } => Some([until, until + back_off]),
@@ -94,29 +94,29 @@
         }
     }
 
-    /// Notes that a request starts on the engine; on an ejected engine it is the probe.
+    /// Records that a request starts on the engine; on an ejected engine it is the probe.
     pub(super) fn start(&mut self, request: RequestId) {
         if let State::Ejected { back_off, .. } = self.state {
-            self.state = State::Probed { by: request, back_off };
+            self.state = State::Probing { probe: request, back_off };
         }
     }
 
-    /// Notes that an attempt succeeded.
+    /// Records that an attempt succeeded.
     pub(super) fn record_success(&mut self, request: RequestId) {
         self.consecutive_failures = 0;
-        self.remember(false);
-        if matches!(self.state, State::Probed { by, .. } if by == request) {
+        self.record_attempt(false);
+        if matches!(self.state, State::Probing { probe, .. } if probe == request) {
             *self = EngineHealth::new(self.config);
         }
     }
 
-    /// Notes that an attempt failed; returns whether that ejected the engine.
+    /// Records that an attempt failed; returns whether the engine was ejected by it.
     pub(super) fn record_failure(&mut self, request: RequestId, now: Timestamp) -> bool {
         self.consecutive_failures += 1;
-        self.remember(true);
+        self.record_attempt(true);
         match self.state {
             State::Admitted if self.is_failing() => self.eject(self.config.back_off_minimum, now),
-            State::Probed { by, back_off } if by == request => {
+            State::Probing { probe, back_off } if probe == request => {
                 self.eject((2 * back_off).min(self.config.back_off_maximum), now);
             }
             _ => return false,
@@ -124,18 +124,18 @@
         true
     }
 
-    /// Notes that an attempt ended in a way that tells nothing about the engine, for example by being cancelled.
-    pub(super) fn record_nothing(&mut self, request: RequestId, now: Timestamp) {
-        if let State::Probed { by, back_off } = self.state
-            && by == request
+    /// Records that an attempt ended without evidence about the engine's health, for example by cancellation.
+    pub(super) fn record_inconclusive(&mut self, request: RequestId, now: Timestamp) {
+        if let State::Probing { probe, back_off } = self.state
+            && probe == request
         {
             self.state = State::Ejected { until: now, back_off };
         }
     }
 
-    fn remember(&mut self, failed: bool) {
+    fn record_attempt(&mut self, failed: bool) {
         self.recent_failures = self.recent_failures << 1 | u32::from(failed);
-        self.recent_attempts = (self.recent_attempts + 1).min(ATTEMPTS_REMEMBERED);
+        self.recent_attempts = (self.recent_attempts + 1).min(ATTEMPTS_RECORDED);
     }
 
     fn is_failing(&self) -> bool {
--- a/crates/core/src/dispatch/job.rs
+++ b/crates/core/src/dispatch/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the dispatcher.
+//! A request in the dispatcher, waiting or running.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 use crate::verdict::{MayHaveRun, NotRun, Verdict};
 use crate::world::{Contract, EngineName};
 
-/// What the request's contract means for it, worked out when it arrives.
+/// The terms of a request under its contract, computed when it arrives.
 #[derive(Clone, Debug)]
 pub(super) struct Terms {
     /// The latest time of the first token that still meets the contract.
     pub(super) first_token_deadline: Timestamp,
-    /// The time from which an answer is of no use.
+    /// The time from which on an answer is useless to the caller.
     pub(super) deadline: Timestamp,
     /// The longest mean time between two tokens that still meets the contract.
     pub(super) token_interval: Duration,
-    /// The share of the pool, relative to others.
+    /// The weight of the request's flow in sharing the pool.
     pub(super) weight: u16,
     /// Whether it may run a second time.
     pub(super) repeatable: bool,
 }
 
 impl Terms {
-    /// The terms of a request that arrives now. Without a contract, only its own time left is promised.
+    /// The terms of a request that arrives now. Without a contract, only the request's own remaining time applies.
     pub(super) fn new(profile: &RequestProfile, contract: Option<&Contract>, now: Timestamp) -> Self {
         let first_token_within = contract.map_or(profile.time_left, |contract| contract.first_token_within);
         Terms {
@@ -42,28 +42,28 @@
     pub(super) profile: RequestProfile,
     pub(super) terms: Terms,
     pub(super) arrived: Timestamp,
-    /// Predicted engine time to read its prompt, less what was cached somewhere when it arrived.
-    pub(super) read_time: Duration,
-    /// Predicted engine time in all, the reading included: the unit of fairness.
+    /// Predicted engine time to prefill its prompt, except the prefix that some engine had cached when it arrived.
+    pub(super) prefill_time: Duration,
+    /// Predicted total engine time, including prefill; the fair queue shares this.
     pub(super) work: Duration,
     /// Attempts that have been started.
     pub(super) attempts: u32,
-    /// Tokens of the answer that have been passed on.
+    /// Tokens of the answer that were delivered to the caller.
     pub(super) delivered: u32,
-    /// When the first token came, in whichever attempt.
+    /// When the first token of any attempt arrived.
     pub(super) first_token_at: Option<Timestamp>,
     /// Set when an earlier attempt may have run; from then on the request can't end as not run.
     pub(super) may_have_run: Option<MayHaveRun>,
-    /// Engines that have failed it.
+    /// Engines on which it has failed.
     pub(super) failed_at: Vec<EngineName>,
 }
 
 impl Job {
-    /// A request that has just arrived.
+    /// Creates the job of a request that arrives now.
     pub(super) fn new(
         profile: RequestProfile,
         terms: Terms,
-        read_time: Duration,
+        prefill_time: Duration,
         work: Duration,
         now: Timestamp,
     ) -> Self {
@@ -71,7 +71,7 @@
             profile,
             terms,
             arrived: now,
-            read_time,
+            prefill_time,
             work,
             attempts: 0,
             delivered: 0,
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Output tokens that it may still generate.
+    /// Output tokens that the request may still generate.
     pub(super) fn output_tokens_left(&self) -> u32 {
         self.profile.max_output_tokens.saturating_sub(self.delivered)
     }
 
-    /// When the next thing that is owed to the caller is due: the first token, or after it the whole answer.
+    /// The next deadline towards the caller: that of the first token, or after it that of the complete answer.
     pub(super) fn due(&self) -> Timestamp {
         match self.first_token_at {
             Some(_) => self.terms.deadline,
@@ -99,7 +99,7 @@
         self.terms.first_token_deadline.since(self.arrived)
     }
 
-    /// The verdict when the request is given up while no attempt runs.
+    /// The verdict if the request is given up while no attempt runs.
     pub(super) fn verdict_when_given_up(&self, refusal: NotRun) -> Verdict {
         match self.may_have_run {
             Some(reason) => Verdict::MayHaveRun(reason),
@@ -107,12 +107,12 @@
         }
     }
 
-    /// KV tokens that it holds at its longest.
+    /// The most KV tokens that the request can hold.
     pub(super) fn kv_tokens(&self) -> u32 {
         self.profile.prompt_tokens.saturating_add(self.profile.max_output_tokens)
     }
 
-    /// Whether the whole answer, ended now, met the contract.
+    /// Whether a complete answer that ends now meets the contract.
     pub(super) fn met_contract(&self, now: Timestamp) -> bool {
         let Some(first_token_at) = self.first_token_at else { return false };
         let intervals = self.delivered.saturating_sub(1).max(1);
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
 //! Dispatch: which request runs on which engine of a pool, and when.
 //!
-//! A [`Dispatcher`] is a state machine for one pool. The caller hands in requests and what engines answer, and carries
-//! out the actions that [`Dispatcher::poll`] returns.
+//! A [`Dispatcher`] is a state machine for one pool. Its owner passes in requests and engine events, and carries out
+//! the actions that [`Dispatcher::poll`] returns.
 
 mod admission;
 mod attempts;
--- a/crates/core/src/dispatch/prefill_backlog.rs
+++ b/crates/core/src/dispatch/prefill_backlog.rs
@@ -1,4 +1,4 @@
-//! Predicts when an engine will have read the prompts that were placed on it.
+//! Predicts when an engine finishes the prefill of the prompts that were placed on it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,131 +6,138 @@
 use crate::request::RequestId;
 use crate::time::Timestamp;
 
-/// How much each finished prompt moves the estimate of an engine's pace.
-const PACE_SMOOTHING: f64 = 0.2;
-/// The pace is kept within this factor of the configured performance, so that one odd prompt can't shut an engine out.
-const PACE_LIMIT: f64 = 4.0;
-/// Shorter readings are dominated by links and steps and tell nothing about the pace.
-const SHORTEST_READING_MEASURED: Duration = Duration::from_millis(100);
+/// The weight of each finished prompt in the estimate of an engine's slowdown.
+const SLOWDOWN_SMOOTHING: f64 = 0.2;
+/// The slowdown is kept within this factor of the configured performance, so that one outlier can't exclude an engine.
+const SLOWDOWN_LIMIT: f64 = 4.0;
+/// Shorter prefills are dominated by link latency and step times and are no measure of the slowdown.
+const SHORTEST_MEASURED_PREFILL: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug)]
-struct Unread {
+struct PendingPrompt {
     request: RequestId,
     tokens: u32,
-    read_time: Duration,
+    prefill_time: Duration,
 }
 
-/// The prompts that an engine has been given and has not finished reading.
+/// The prompts placed on an engine whose prefill isn't done.
 ///
-/// Only the end of a reading is reported. In between the rest is predicted, at the pace that finished prompts have
-/// shown: 1 is as configured, 2 takes twice as long.
+/// Engines report only the end of a prefill. Until then the remaining time is predicted, with the slowdown that
+/// finished prompts have shown: 1 is the configured performance, 2 takes twice as long.
 #[derive(Debug)]
 pub(super) struct PrefillBacklog {
-    unread: VecDeque<Unread>,
-    /// When the engine is predicted to have read all prompts.
+    pending: VecDeque<PendingPrompt>,
+    /// When the engine is predicted to finish all prompts.
     busy_until: Timestamp,
-    /// When it began to read the first of `unread`, as far as is known.
-    reading_since: Timestamp,
-    pace: f64,
+    /// The estimated time at which the prefill of the first pending prompt began.
+    prefill_started_at: Timestamp,
+    slowdown: f64,
 }
 
 impl PrefillBacklog {
     pub(super) fn new() -> Self {
         PrefillBacklog {
-            unread: VecDeque::new(),
+            pending: VecDeque::new(),
             busy_until: Timestamp::ZERO,
-            reading_since: Timestamp::ZERO,
-            pace: 1.0,
+            prefill_started_at: Timestamp::ZERO,
+            slowdown: 1.0,
         }
     }
 
-    /// How much slower than configured the engine reads.
-    pub(super) fn pace(&self) -> f64 {
-        self.pace
+    /// The factor by which prefill takes longer than configured.
+    pub(super) fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.unread.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Whether a prompt of more than `tokens` is unread.
+    /// Whether a prompt of more than `tokens` is pending.
     pub(super) fn has_longer_than(&self, tokens: u32) -> bool {
-        self.unread.iter().any(|unread| unread.tokens > tokens)
+        self.pending.iter().any(|pending| pending.tokens > tokens)
     }
 
-    pub(super) fn push(&mut self, request: RequestId, tokens: u32, read_time: Duration, now: Timestamp) {
-        if self.unread.is_empty() {
+    pub(super) fn push(&mut self, request: RequestId, tokens: u32, prefill_time: Duration, now: Timestamp) {
+        if self.pending.is_empty() {
             self.busy_until = now;
-            self.reading_since = now;
+            self.prefill_started_at = now;
         }
-        self.unread.push_back(Unread { request, tokens, read_time });
-        self.busy_until = self.busy_until.max(now) + read_time.mul_f64(self.pace);
+        self.pending.push_back(PendingPrompt { request, tokens, prefill_time });
+        self.busy_until = self.busy_until.max(now) + prefill_time.mul_f64(self.slowdown);
     }
 
-    /// Notes that a prompt has been read.
+    /// Records that the prefill of a prompt is done.
     pub(super) fn finish(&mut self, request: RequestId, now: Timestamp) {
-        let was_first = self.unread.front().is_some_and(|first| first.request == request);
-        if was_first && let Some(first) = self.unread.front() {
-            let (expected, taken) = (first.read_time, now.since(self.reading_since));
-            self.learn_pace(expected, taken);
+        let was_first = self.pending.front().is_some_and(|first| first.request == request);
+        if was_first && let Some(first) = self.pending.front() {
+            let (expected, taken) = (first.prefill_time, now.since(self.prefill_started_at));
+            self.update_slowdown(expected, taken);
         }
         self.drop_request(request, now);
     }
 
-    /// Forgets a prompt that will not be read to its end here.
+    /// Removes a prompt whose prefill won't be finished here.
     pub(super) fn drop_request(&mut self, request: RequestId, now: Timestamp) {
-        let before = self.unread.len();
-        self.unread.retain(|unread| unread.request != request);
-        if self.unread.len() < before {
-            self.reading_since = now;
-            self.busy_until = now + self.read_time().mul_f64(self.pace);
+        let before = self.pending.len();
+        self.pending.retain(|pending| pending.request != request);
+        if self.pending.len() < before {
+            self.prefill_started_at = now;
+            self.busy_until = now + self.total_prefill_time().mul_f64(self.slowdown);
         }
     }
 
-    /// Replaces the prediction by what the engine reported `age` ago.
-    pub(super) fn correct(&mut self, read_time_left: Duration, age: Duration, now: Timestamp) {
-        if self.unread.is_empty() && read_time_left.is_zero() {
+    /// Replaces the prediction by the remaining time that the engine reported `age` ago.
+    pub(super) fn correct(&mut self, prefill_time_left: Duration, age: Duration, now: Timestamp) {
+        if self.pending.is_empty() && prefill_time_left.is_zero() {
             return;
         }
-        self.busy_until = now + read_time_left.mul_f64(self.pace).saturating_sub(age);
+        self.busy_until = now + prefill_time_left.mul_f64(self.slowdown).saturating_sub(age);
     }
 
-    /// Predicted time until the engine has read all prompts. When it is overdue, it is taken to need as long again as
-    /// it is late.
+    /// Predicted time until the engine has finished all prompts. An overdue engine is assumed to need as much more time
+    /// as it is late.
     pub(super) fn wait(&self, now: Timestamp) -> Duration {
         let predicted = self.busy_until.since(now);
-        let overdue = if self.unread.is_empty() { Duration::ZERO } else { now.since(self.busy_until) };
+        let overdue = if self.pending.is_empty() { Duration::ZERO } else { now.since(self.busy_until) };
         predicted.max(overdue)
     }
 
-    /// Time to read the prompts that come after that of `request`; `None` if its own is not unread.
-    pub(super) fn read_after(&self, request: RequestId) -> Option<Duration> {
-        let position = self.unread.iter().position(|unread| unread.request == request)?;
-        Some(self.unread.iter().skip(position + 1).map(|unread| unread.read_time).sum::<Duration>().mul_f64(self.pace))
+    /// Time to prefill the prompts after that of `request`; `None` if the prompt of `request` isn't pending.
+    pub(super) fn prefill_time_after(&self, request: RequestId) -> Option<Duration> {
+        let position = self.pending.iter().position(|pending| pending.request == request)?;
+        Some(
+            self.pending
+                .iter()
+                .skip(position + 1)
+                .map(|pending| pending.prefill_time)
+                .sum::<Duration>()
+                .mul_f64(self.slowdown),
+        )
     }
 
-    /// When the predicted wait falls to `wait`, if it is higher now.
-    pub(super) fn falls_to(&self, wait: Duration) -> Timestamp {
+    /// When the predicted wait falls to `wait`, if it is longer now.
+    pub(super) fn wait_falls_to(&self, wait: Duration) -> Timestamp {
         self.busy_until - wait
     }
 
-    /// Prompt tokens that are predicted to be unread.
+    /// The predicted number of prompt tokens that are still to prefill.
     pub(super) fn tokens(&self, now: Timestamp) -> u32 {
-        let all: u32 = self.unread.iter().map(|unread| unread.tokens).sum();
-        let full_time = self.read_time().mul_f64(self.pace).as_secs_f64();
+        let pending_tokens: u32 = self.pending.iter().map(|pending| pending.tokens).sum();
+        let full_time = self.total_prefill_time().mul_f64(self.slowdown).as_secs_f64();
         let share = if full_time > 0.0 { (self.wait(now).as_secs_f64() / full_time).min(1.0) } else { 1.0 };
-        (f64::from(all) * share) as u32
+        (f64::from(pending_tokens) * share) as u32
     }
 
-    fn read_time(&self) -> Duration {
-        self.unread.iter().map(|unread| unread.read_time).sum()
+    fn total_prefill_time(&self) -> Duration {
+        self.pending.iter().map(|pending| pending.prefill_time).sum()
     }
 
-    fn learn_pace(&mut self, expected: Duration, taken: Duration) {
-        if expected < SHORTEST_READING_MEASURED {
+    fn update_slowdown(&mut self, expected: Duration, taken: Duration) {
+        if expected < SHORTEST_MEASURED_PREFILL {
             return;
         }
-        let measured = (taken.as_secs_f64() / expected.as_secs_f64()).clamp(1.0 / PACE_LIMIT, PACE_LIMIT);
-        self.pace += PACE_SMOOTHING * (measured - self.pace);
+        let measured = (taken.as_secs_f64() / expected.as_secs_f64()).clamp(1.0 / SLOWDOWN_LIMIT, SLOWDOWN_LIMIT);
+        self.slowdown += SLOWDOWN_SMOOTHING * (measured - self.slowdown);
     }
 }
--- a/crates/core/src/dispatch/prefix_index.rs
+++ b/crates/core/src/dispatch/prefix_index.rs
@@ -1,13 +1,13 @@
-//! What is believed to be cached at an engine.
+//! Estimates the prefixes that an engine has cached.
 
 use std::collections::BTreeMap;
 
 use crate::request::{BLOCK_TOKENS, BlockHash};
 
-/// The prefixes that one engine is believed to have cached: those that were placed there and those that it reported.
+/// The prefixes that one engine is estimated to have cached: those that were placed there and those that it reported.
 ///
-/// A belief only: cache events come late and with gaps. It decides where a request runs, never whether it may. At most
-/// `maximum` blocks are kept; the ones unused for longest are forgotten first, as engines do.
+/// It is an estimate, since cache events arrive late and with gaps; it affects where a request runs, never whether it
+/// may run. At most `maximum` blocks are kept; the least recently used are evicted first, as on engines.
 #[derive(Debug)]
 pub(super) struct PrefixIndex {
     maximum: usize,
@@ -21,14 +21,14 @@
         PrefixIndex { maximum, uses: 0, last_use: BTreeMap::new(), by_last_use: BTreeMap::new() }
     }
 
-    /// Tokens at the start of a prompt with these prefixes, shortest first, that are believed to be cached.
+    /// The estimated number of cached tokens at the start of a prompt with these prefixes, shortest first.
     pub(super) fn cached_tokens(&self, blocks: &[BlockHash]) -> u32 {
         let cached = blocks.iter().take_while(|block| self.last_use.contains_key(block)).count();
         u32::try_from(cached).unwrap_or(u32::MAX).saturating_mul(BLOCK_TOKENS)
     }
 
     pub(super) fn insert(&mut self, blocks: &[BlockHash]) {
-        // The longest prefix gets the oldest use, so that it is forgotten before the prefixes that it extends.
+        // The longest prefix gets the oldest use, so that it is evicted before the prefixes that it extends.
         for &block in blocks.iter().take(self.maximum).rev() {
             self.remove(block);
             self.uses += 1;
@@ -47,7 +47,7 @@
         }
     }
 
-    pub(super) fn forget_all(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.last_use.clear();
         self.by_last_use.clear();
     }
--- a/crates/core/tests/dispatch_fairness.rs
+++ b/crates/core/tests/dispatch_fairness.rs
@@ -11,14 +11,14 @@
 use havengate_core::world::Contract;
 use havengate_core::world::EngineRole::Mixed;
 
-const PATIENT: Duration = Duration::from_secs(1_000);
+const LONG_DEADLINE: Duration = Duration::from_secs(1_000);
 
-fn patient(id: u128, tenant: &str, contract: &str, prompt_tokens: u32) -> RequestProfile {
-    RequestProfile { tenant: tenant.into(), time_left: PATIENT, ..request(id, contract, prompt_tokens, 20) }
+fn request_with_long_deadline(id: u128, tenant: &str, contract: &str, prompt_tokens: u32) -> RequestProfile {
+    RequestProfile { tenant: tenant.into(), time_left: LONG_DEADLINE, ..request(id, contract, prompt_tokens, 20) }
 }
 
-fn weighted(name: &str, weight: u16) -> Contract {
-    Contract { weight, ..contract(name, PATIENT, true) }
+fn contract_with_weight(name: &str, weight: u16) -> Contract {
+    Contract { weight, ..contract(name, LONG_DEADLINE, true) }
 }
 
 /// The requests that a dispatcher has started, in order, when it is polled at `now`.
@@ -35,17 +35,17 @@
     for (weight, requests) in [(1, 100), (3, 150), (5, 200)] {
         let roles = [Mixed];
         let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &roles);
-        dispatcher.set_contracts(vec![weighted("heavy", weight), weighted("light", 1)]);
+        dispatcher.set_contracts(vec![contract_with_weight("heavy", weight), contract_with_weight("light", 1)]);
         let mut pool = SimulatedPool::new(dispatcher, slots(&roles));
         for id in 0..requests {
-            pool.arrive(patient(id, "patan-press", "heavy", 2_000), Timestamp::ZERO);
-            pool.arrive(patient(1_000 + id, "thamel-school", "light", 2_000), Timestamp::ZERO);
+            pool.arrive(request_with_long_deadline(id, "patan-press", "heavy", 2_000), Timestamp::ZERO);
+            pool.arrive(request_with_long_deadline(1_000 + id, "thamel-school", "light", 2_000), Timestamp::ZERO);
         }
         for second in 1..=15 {
             pool.run_until(Timestamp::from_millis(second * 1_000));
             let started = |is_light: bool| {
-                let of_tenant = pool.history.lives.iter().filter(|(id, _)| (id.0 >= 1_000) == is_light);
-                of_tenant.filter(|(_, life)| life.starts > 0).count() as f64
+                let of_tenant = pool.history.records.iter().filter(|(id, _)| (id.0 >= 1_000) == is_light);
+                of_tenant.filter(|(_, record)| record.starts > 0).count() as f64
             };
             let (heavy, light) = (started(false), started(true));
             let unfairness = (heavy / f64::from(weight) - light).abs();
@@ -58,29 +58,31 @@
 #[test]
 fn a_short_request_overtakes_the_long_ones_of_its_own_tenant() {
     let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &[Mixed]);
-    dispatcher.set_contracts(vec![weighted("any", 1)]);
+    dispatcher.set_contracts(vec![contract_with_weight("any", 1)]);
     for id in 0..10 {
-        dispatcher.submit(patient(id, "patan-press", "any", 16_000), Timestamp::ZERO).expect("room");
+        dispatcher
+            .submit(request_with_long_deadline(id, "patan-press", "any", 16_000), Timestamp::ZERO)
+            .expect("accepted");
     }
-    assert_eq!(starts(&mut dispatcher, Timestamp::ZERO).len(), 1, "the engine reads one long prompt at a time");
+    assert_eq!(starts(&mut dispatcher, Timestamp::ZERO).len(), 1, "the engine accepts one long prompt at a time");
     let later = Timestamp::from_millis(1_000);
-    dispatcher.submit(patient(100, "patan-press", "any", 200), later).expect("room");
-    let free = Timestamp::from_millis(1_600);
-    assert_eq!(starts(&mut dispatcher, free).first(), Some(&RequestId(100)));
+    dispatcher.submit(request_with_long_deadline(100, "patan-press", "any", 200), later).expect("accepted");
+    let retry_at = Timestamp::from_millis(1_600);
+    assert_eq!(starts(&mut dispatcher, retry_at).first(), Some(&RequestId(100)));
 }
 
 #[test]
-fn long_work_is_not_overtaken_for_ever() {
+fn a_long_request_is_not_starved_by_short_ones() {
     let roles = [Mixed];
     let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &roles);
     dispatcher.set_contracts(vec![contract("any", Duration::from_secs(40), true)]);
     let mut pool = SimulatedPool::new(dispatcher, slots(&roles));
-    pool.arrive(patient(9_999, "patan-press", "any", 16_000), Timestamp::from_millis(500));
+    pool.arrive(request_with_long_deadline(9_999, "patan-press", "any", 16_000), Timestamp::from_millis(500));
     for id in 0..1_000 {
-        pool.arrive(patient(id, "patan-press", "any", 400), Timestamp::from_millis(id as u64 * 45));
+        pool.arrive(request_with_long_deadline(id, "patan-press", "any", 400), Timestamp::from_millis(id as u64 * 45));
     }
     pool.run_until(Timestamp::from_millis(40_000));
-    let long = pool.history.life(RequestId(9_999));
-    let waited = long.time_to_first_token().expect("it was served among 1,000 short ones");
+    let long = pool.history.record(RequestId(9_999));
+    let waited = long.time_to_first_token().expect("served among 1,000 short requests");
     assert!(waited < Duration::from_secs(40), "{waited:?}");
 }
--- a/crates/core/tests/dispatch_guarantees.rs
+++ b/crates/core/tests/dispatch_guarantees.rs
@@ -1,7 +1,8 @@
-//! What must always hold of a dispatcher, under random work, crashes, drains, revocations and repeated messages.
+//! Invariants of a dispatcher under random work, crashes, drains, revocations and repeated messages.
 //!
-//! The history asserts it as it goes: one end for each request, no start after it, no second run of what must not be
-//! repeated, no run of what ended as not run, whole answers, no new work on a draining engine, batch and KV limits.
+//! The simulation asserts them at each event: one end per request, no start after the end, no second run of a request
+//! that must not be repeated, no run of a request that ended as not run, complete answers, no new work on a draining
+//! engine, and the batch and KV limits.
 
 mod dispatch_support;
 
@@ -70,15 +71,15 @@
             13 if !submitted.is_empty() => pool.arrive(input.choose(&submitted)?.clone(), pool.now),
             14 | 15 if !submitted.is_empty() => {
                 let id = input.choose(&submitted)?.id;
-                if pool.history.lives.contains_key(&id) {
+                if pool.history.records.contains_key(&id) {
                     pool.revoke(id);
                 }
             }
             16 => random_change(input, &mut pool)?,
             _ => {}
         }
-        let pause = Duration::from_millis(input.int_in_range(0..=400)?);
-        pool.run_until(pool.now + pause);
+        let step = Duration::from_millis(input.int_in_range(0..=400)?);
+        pool.run_until(pool.now + step);
         assert!(pool.dispatcher.waiting() <= QUEUE_MAXIMUM, "the queue is bounded");
     }
     pool.run_until(pool.now + Duration::from_secs(120));
@@ -87,7 +88,7 @@
     let ended = counters.refused + counters.met + counters.missed + counters.not_run + counters.may_have_run;
     assert_eq!(ended, counters.submitted, "each request is counted once: {counters:?}");
     for slot in &pool.slots {
-        assert_eq!(pool.dispatcher.in_flight(&slot.name), 0, "nothing is left on {}", slot.name);
+        assert_eq!(pool.dispatcher.in_flight(&slot.name), 0, "no request is in flight on {}", slot.name);
     }
     Ok(())
 }
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_full_table_of_closed_requests_gives_no_promise_and_takes_no_work() {
+fn a_full_table_of_closed_requests_answers_unknown_and_refuses_requests() {
     let config = DispatchConfig { queue_maximum: 1, closed_requests_maximum: 2, ..DispatchConfig::default() };
     config.validate().expect("valid limits");
     let retention = config.closed_requests_retention;
@@ -120,14 +121,14 @@
         assert_eq!(dispatcher.revoke(RequestId(id), Timestamp::ZERO), Revocation::BeforeStart);
     }
     assert_eq!(dispatcher.revoke(RequestId(2), Timestamp::ZERO), Revocation::Unknown);
-    let refusal = dispatcher.submit(request(3, SHORT, 100, 10), Timestamp::ZERO).expect_err("no room");
+    let refusal = dispatcher.submit(request(3, SHORT, 100, 10), Timestamp::ZERO).expect_err("the table is full");
     assert_eq!(refusal.reason, NotRunReason::QueueFull);
     let later = Timestamp::ZERO + retention;
-    assert_eq!(dispatcher.submit(request(3, SHORT, 100, 10), later), Ok(()), "room comes back with time");
+    assert_eq!(dispatcher.submit(request(3, SHORT, 100, 10), later), Ok(()), "there is room again after the retention");
 }
 
 #[test]
-fn an_ended_request_is_not_taken_for_one_that_never_started() {
+fn revoking_an_ended_request_reports_that_it_started() {
     let roles = [Mixed];
     let mut pool = SimulatedPool::new(dispatcher(DispatchConfig::default(), "cost", &roles), slots(&roles));
     pool.arrive(request(1, ONCE, 100, 10), pool.now);
@@ -135,5 +136,5 @@
     assert_eq!(pool.revoke(RequestId(1)), Revocation::AfterStart);
     pool.arrive(request(1, ONCE, 100, 10), pool.now);
     pool.run_until(Timestamp::from_millis(10_000));
-    assert_eq!(pool.history.life(RequestId(1)).runs, 1);
+    assert_eq!(pool.history.record(RequestId(1)).runs, 1);
 }
--- a/crates/core/tests/dispatch_knowledge.rs
+++ b/crates/core/tests/dispatch_knowledge.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher believes of its engines: caches from late events, load from late reports.
+//! A dispatcher's estimates of its engines: cached prefixes from delayed events, load from delayed reports.
 
 mod dispatch_support;
 
@@ -21,42 +21,42 @@
 
 fn placed_on(dispatcher: &mut Dispatcher, profile: RequestProfile, now: Timestamp) -> EngineName {
     let request = profile.id;
-    dispatcher.submit(profile, now).expect("room");
+    dispatcher.submit(profile, now).expect("accepted");
     let actions = dispatcher.poll(now);
-    let place = |action: &DispatchAction| match action {
+    let decode_engine = |action: &DispatchAction| match action {
         DispatchAction::Start { request: started, placement, .. } if *started == request => {
             Some(placement.decode.clone())
         }
         _ => None,
     };
-    actions.iter().find_map(place).expect("a start")
+    actions.iter().find_map(decode_engine).expect("a start")
 }
 
 #[test]
-fn a_prompt_goes_where_its_prefix_was_placed_or_reported_until_that_is_forgotten() {
-    for forget in [
+fn a_prompt_is_placed_where_its_prefix_was_placed_or_reported_as_cached() {
+    for removal in [
         EngineEvent::CacheGap { engine: engine_name(2) },
         EngineEvent::CacheRemoved { engine: engine_name(2), blocks: (100..115).map(BlockHash).collect() },
     ] {
         let mut dispatcher = dispatcher(DispatchConfig::default(), "prefix_affinity", &[Mixed; 3]);
         let now = Timestamp::ZERO;
-        let unknown = placed_on(&mut dispatcher, with_prefix(1, 1), now);
-        assert_eq!(placed_on(&mut dispatcher, with_prefix(2, 1), now), unknown, "it follows the own placement");
+        let first = placed_on(&mut dispatcher, with_prefix(1, 1), now);
+        assert_eq!(placed_on(&mut dispatcher, with_prefix(2, 1), now), first, "it follows the earlier placement");
         let reported = EngineEvent::CacheStored { engine: engine_name(2), blocks: (200..215).map(BlockHash).collect() };
         dispatcher.step(reported, now);
         assert_eq!(placed_on(&mut dispatcher, with_prefix(3, 2), now), engine_name(2), "it follows the report");
-        dispatcher.step(forget, now);
+        dispatcher.step(removal, now);
     }
 }
 
 #[test]
-fn a_gap_in_cache_events_forgets_what_was_believed() {
+fn a_gap_in_cache_events_clears_the_estimated_prefixes() {
     let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &[Mixed; 3]);
     let now = Timestamp::ZERO;
     let blocks: Vec<BlockHash> = (100..115).map(BlockHash).collect();
     dispatcher.step(EngineEvent::CacheStored { engine: engine_name(2), blocks }, now);
     dispatcher.step(EngineEvent::CacheGap { engine: engine_name(2) }, now);
-    assert_eq!(placed_on(&mut dispatcher, with_prefix(1, 1), now), engine_name(0), "all engines look the same again");
+    assert_eq!(placed_on(&mut dispatcher, with_prefix(1, 1), now), engine_name(0), "no engine has a known prefix");
 }
 
 fn report(engine: usize, requests: u32, age: Duration) -> EngineEvent {
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn work_of_others_takes_room_until_the_report_is_too_old() {
+fn external_load_uses_capacity_until_its_report_expires() {
     let config = DispatchConfig::default();
     let lifetime = config.load_report_lifetime;
     let mut dispatcher = dispatcher(config, "cost", &[Mixed]);
     let now = Timestamp::from_millis(1_000);
     dispatcher.step(report(0, BATCH - 2, Duration::ZERO), now);
     for id in 0..5 {
-        dispatcher.submit(request(id, LONG, 10, 10), now).expect("room");
+        dispatcher.submit(request(id, LONG, 10, 10), now).expect("accepted");
     }
     assert_eq!(started(&mut dispatcher, now), 2);
     for id in 0..2 {
@@ -87,11 +87,11 @@
 }
 
 #[test]
-fn a_late_report_of_the_own_work_is_not_taken_for_work_of_others() {
+fn a_late_report_of_own_load_is_not_counted_as_external_load() {
     let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &[Mixed]);
     let now = Timestamp::from_millis(1_000);
     for id in 0..20 {
-        dispatcher.submit(request(id, LONG, 10, 10), now).expect("room");
+        dispatcher.submit(request(id, LONG, 10, 10), now).expect("accepted");
     }
     assert_eq!(started(&mut dispatcher, now), 20);
     let ended = now + Duration::from_secs(1);
@@ -102,17 +102,17 @@
     let reported = ended + Duration::from_secs(1);
     dispatcher.step(report(0, 20, Duration::from_millis(1_500)), reported);
     for id in 100..132 {
-        dispatcher.submit(request(id, LONG, 10, 10), reported).expect("room");
+        dispatcher.submit(request(id, LONG, 10, 10), reported).expect("accepted");
     }
-    assert_eq!(started(&mut dispatcher, reported), BATCH as usize, "the report is about the time when they ran");
+    assert_eq!(started(&mut dispatcher, reported), BATCH as usize, "the report is from the time when the first 20 ran");
 }
 
 #[test]
 fn a_long_prompt_is_split_and_a_short_one_runs_whole_where_that_is_faster() {
     let roles = [Prefill, Decode, Mixed];
     let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &roles);
-    dispatcher.submit(request(1, LONG, 12_000, 10), Timestamp::ZERO).expect("room");
-    dispatcher.submit(request(2, SHORT, 200, 10), Timestamp::ZERO).expect("room");
+    dispatcher.submit(request(1, LONG, 12_000, 10), Timestamp::ZERO).expect("accepted");
+    dispatcher.submit(request(2, SHORT, 200, 10), Timestamp::ZERO).expect("accepted");
     let actions = dispatcher.poll(Timestamp::ZERO);
     let placement_of = |id: u128| {
         actions.iter().find_map(|action| match action {
@@ -125,11 +125,11 @@
     assert_eq!((short.prefill, short.decode), (None, engine_name(2)));
     assert_eq!(dispatcher.in_flight(&engine_name(0)), 1);
     dispatcher.step(EngineEvent::FirstToken { request: request(1, LONG, 0, 0).id }, Timestamp::from_millis(1_600));
-    assert_eq!(dispatcher.in_flight(&engine_name(0)), 0, "the prefill engine is done once the first token is there");
+    assert_eq!(dispatcher.in_flight(&engine_name(0)), 0, "the request leaves the prefill engine at its first token");
 }
 
 #[test]
-fn demand_counts_what_arrives_and_what_waits() {
+fn demand_includes_arriving_and_waiting_requests() {
     let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &[Mixed]);
     for tenth in 0..300_u64 {
         let now = Timestamp::from_millis(tenth * 100);
--- a/crates/core/tests/dispatch_overload.rs
+++ b/crates/core/tests/dispatch_overload.rs
@@ -1,10 +1,12 @@
-//! What a dispatcher makes of more demand than its pool can serve.
+//! A dispatcher under more demand than its pool can serve.
 
 mod dispatch_support;
 
 use std::time::Duration;
 
-use dispatch_support::{LONG, Life, ONCE, SHORT, SimulatedPool, contracts, dispatcher, engine_name, request, slots};
+use dispatch_support::{
+    LONG, ONCE, RequestRecord, SHORT, SimulatedPool, contracts, dispatcher, engine_name, request, slots,
+};
 use fastrand::Rng;
 use havengate_core::dispatch::{DispatchAction, DispatchConfig, EngineEvent, ReportedLoad};
 use havengate_core::request::{RequestId, RequestProfile};
@@ -35,7 +37,7 @@
 
 type Mix = fn(&mut Rng, u128) -> RequestProfile;
 
-/// Offers requests of `mix` at `rate` a second, at random times; returns the finished simulation.
+/// Simulates Poisson arrivals of `mix` at `rate` requests per second; returns the finished simulation.
 fn run(roles: &[EngineRole], policy: &str, mix: Mix, rate: f64, seed: u64) -> SimulatedPool {
     let mut pool = SimulatedPool::new(dispatcher(DispatchConfig::default(), policy, roles), slots(roles));
     let mut random = Rng::with_seed(seed);
@@ -62,13 +64,13 @@
     for (roles, policy, mix, capacity) in cases {
         let met = |rate| run(roles, policy, mix, rate, 11).history.met(first_token_within);
         let (once, twice) = (met(capacity), met(2.0 * capacity));
-        println!("{policy} on {roles:?} at {capacity} a second: {once} met; at twice that: {twice}");
+        println!("{policy} on {roles:?} at {capacity} requests per second: {once} met; at twice that: {twice}");
         assert!(twice as f64 >= 0.95 * once as f64, "{policy} on {roles:?}: {once} met at 1x, {twice} at 2x");
     }
 }
 
 #[test]
-fn what_is_started_meets_its_contract_even_in_overload() {
+fn started_requests_meet_their_contract_under_overload() {
     for roles in [MIXED, SPLIT] {
         let pool = run(roles, "cost", four_short_to_one_long, 16.0, 11);
         let counters = pool.dispatcher.counters();
@@ -78,49 +80,49 @@
 }
 
 #[test]
-fn nothing_is_started_on_an_engine_that_is_predicted_to_be_too_late() {
+fn no_request_is_started_on_an_engine_that_is_predicted_to_miss_its_deadline() {
     let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &[Mixed]);
-    let hurried = RequestProfile { time_left: Duration::from_millis(450), ..request(1, SHORT, 100, 10) };
-    dispatcher.submit(hurried, Timestamp::ZERO).expect("an idle engine makes it");
+    let tight_deadline = RequestProfile { time_left: Duration::from_millis(450), ..request(1, SHORT, 100, 10) };
+    dispatcher.submit(tight_deadline, Timestamp::ZERO).expect("an idle engine meets the deadline");
     let load = ReportedLoad { requests: 2, waiting_prefill_tokens: 3_900, ..ReportedLoad::default() };
     dispatcher.step(EngineEvent::Load { engine: engine_name(0), load }, Timestamp::ZERO);
-    assert_eq!(dispatcher.poll(Timestamp::ZERO), Vec::new(), "others' prompts take longer than it has");
+    assert_eq!(dispatcher.poll(Timestamp::ZERO), Vec::new(), "the prefill of external prompts takes too long");
     let mut actions = Vec::new();
     while actions.is_empty() {
-        let next = dispatcher.next_poll().expect("it waits");
-        assert!(next < Timestamp::from_millis(450), "it is given up before its deadline");
+        let next = dispatcher.next_poll().expect("the request waits");
+        assert!(next < Timestamp::from_millis(450), "the request is given up before its deadline");
         actions = dispatcher.poll(next);
     }
     assert_eq!(actions.iter().filter_map(given_up).collect::<Vec<_>>(), [RequestId(1)]);
 }
 
 #[test]
-fn short_prompts_do_not_wait_behind_long_ones_while_a_reader_is_left() {
+fn short_prompts_do_not_wait_behind_long_ones_while_a_prefill_engine_is_free() {
     let pool = run(SPLIT, "cost", four_short_to_one_long, 8.0, 11);
-    let is_short = |life: &&Life| life.profile.contract.as_str() == SHORT;
-    let short = pool.history.lives.values().filter(is_short);
-    let mut times: Vec<Duration> = short.clone().filter_map(|life| life.time_to_first_token()).collect();
+    let is_short = |record: &&RequestRecord| record.profile.contract.as_str() == SHORT;
+    let short = pool.history.records.values().filter(is_short);
+    let mut times: Vec<Duration> = short.clone().filter_map(|record| record.time_to_first_token()).collect();
     times.sort();
     assert!(times.len() * 100 >= short.count() * 99, "{} served", times.len());
     let p95 = times[times.len() * 95 / 100];
     println!("p95 of the time to the first token of short requests: {p95:?}");
-    assert!(p95 < Duration::from_millis(500), "one long prompt takes 1 to 2.5 s: {p95:?}");
+    assert!(p95 < Duration::from_millis(500), "the prefill of one long prompt takes 1 to 2.5 s: {p95:?}");
 }
 
 #[test]
-fn a_request_that_is_given_up_is_told_at_once_and_when_to_come_back() {
+fn a_given_up_request_gets_an_early_refusal_with_a_retry_delay() {
     let pool = run(SPLIT, "cost", four_short_to_one_long, 16.0, 11);
     let mut given_up = 0;
-    for life in pool.history.lives.values() {
-        let refused_on_arrival = life.refused.as_ref().map(|refusal| (life.arrived, refusal));
-        let given_up_later = match &life.ended {
+    for record in pool.history.records.values() {
+        let refused_on_arrival = record.refused.as_ref().map(|refusal| (record.arrived, refusal));
+        let given_up_later = match &record.ended {
             Some((at, Verdict::NotRun(refusal))) => Some((*at, refusal)),
             _ => None,
         };
         let Some((at, NotRun { reason, retry_after })) = refused_on_arrival.or(given_up_later) else { continue };
         assert_eq!(*reason, NotRunReason::DeadlineUnreachable);
         assert!(retry_after.is_some_and(|retry_after| !retry_after.is_zero()));
-        assert!(at.since(life.arrived) < first_token_within(&life.profile), "answered before the deadline");
+        assert!(at.since(record.arrived) < first_token_within(&record.profile), "refused before the deadline");
         given_up += 1;
     }
     assert!(given_up > 100, "{given_up} given up");
@@ -134,9 +136,9 @@
     };
     let pool = run(MIXED, "cost", mix, 20.0, 11);
     let served = |priority: u8| {
-        let class = pool.history.lives.values().filter(|life| life.profile.priority == priority);
-        let (met, all) = class.fold((0, 0), |(met, all), life| {
-            let completed = matches!(life.ended, Some((_, Verdict::Completed)));
+        let class = pool.history.records.values().filter(|record| record.profile.priority == priority);
+        let (met, all) = class.fold((0, 0), |(met, all), record| {
+            let completed = matches!(record.ended, Some((_, Verdict::Completed)));
             (met + u32::from(completed), all + 1)
         });
         f64::from(met) / f64::from(all)
@@ -147,23 +149,23 @@
 
 #[test]
 fn waiting_requests_of_low_priority_are_shed_for_one_of_high_priority() {
-    let fill = |requests: u128| {
+    let fill_queue = |requests: u128| {
         let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &[Mixed]);
         let submit = |id: &u128| dispatcher.submit(request(*id, LONG, 10_000, 50), Timestamp::ZERO).is_ok();
         let accepted = (0..requests).take_while(submit).count();
         (dispatcher, accepted)
     };
-    let (_, accepted) = fill(100);
-    assert!((5..100).contains(&accepted), "the deadline bounds what is let in: {accepted}");
-    let (mut dispatcher, _) = fill(accepted as u128);
+    let (_, accepted) = fill_queue(100);
+    assert!((5..100).contains(&accepted), "the deadline bounds the admitted requests: {accepted}");
+    let (mut dispatcher, _) = fill_queue(accepted as u128);
     for id in 0..accepted as u128 {
         let urgent = RequestProfile { priority: 1, ..request(1_000 + id, LONG, 10_000, 50) };
-        assert_eq!(dispatcher.submit(urgent, Timestamp::ZERO), Ok(()), "the same work of high priority is let in");
+        assert_eq!(dispatcher.submit(urgent, Timestamp::ZERO), Ok(()), "the same work at high priority is admitted");
     }
     let shed: Vec<RequestId> = dispatcher.poll(Timestamp::ZERO).iter().filter_map(given_up).collect();
     assert_eq!(shed.len() as u64, dispatcher.counters().shed);
-    assert!(!shed.is_empty(), "some of {accepted} are shed");
-    assert!(shed.iter().all(|request| request.0 < 1_000), "of low priority only");
+    assert!(!shed.is_empty(), "some of the {accepted} waiting requests are shed");
+    assert!(shed.iter().all(|request| request.0 < 1_000), "only requests of low priority are shed");
 }
 
 fn given_up(action: &DispatchAction) -> Option<RequestId> {
@@ -177,7 +179,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_and_says_when_to_come_back() {
+fn a_full_queue_refuses_with_a_retry_delay() {
     let config = DispatchConfig { queue_maximum: 3, ..DispatchConfig::default() };
     let mut dispatcher = dispatcher(config, "cost", &[Mixed]);
     dispatcher.set_engines(Vec::new());
@@ -191,21 +193,21 @@
     assert_eq!(refusal.reason, NotRunReason::QueueFull);
     assert!(refusal.retry_after.is_some());
     let too_large = request(6, ONCE, 300_000, 10);
-    let refusal = dispatcher.submit(too_large, Timestamp::ZERO).expect_err("larger than any engine's memory");
+    let refusal = dispatcher.submit(too_large, Timestamp::ZERO).expect_err("larger than the KV capacity of any engine");
     assert_eq!(refusal, NotRun::new(NotRunReason::InvalidRequest));
 }
 
 #[test]
-fn absurd_sizes_are_refused_or_served_without_a_panic() {
-    let mut absurd = slots(&[Mixed]);
-    absurd[0].performance.prefill_tokens_per_second = 0.0;
-    absurd[0].performance.step_time = Duration::MAX;
-    absurd[0].performance.step_time_per_request = Duration::MAX;
-    for engines in [slots(&[Mixed]), absurd] {
+fn extreme_sizes_are_refused_or_served_without_a_panic() {
+    let mut extreme = slots(&[Mixed]);
+    extreme[0].performance.prefill_tokens_per_second = 0.0;
+    extreme[0].performance.step_time = Duration::MAX;
+    extreme[0].performance.step_time_per_request = Duration::MAX;
+    for engines in [slots(&[Mixed]), extreme] {
         let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &[Mixed]);
         dispatcher.set_engines(engines);
-        let endless = RequestProfile { time_left: Duration::MAX, ..request(1, "unknown", u32::MAX, u32::MAX) };
-        assert_eq!(dispatcher.submit(endless, Timestamp::ZERO), Err(NotRun::new(NotRunReason::InvalidRequest)));
+        let unbounded = RequestProfile { time_left: Duration::MAX, ..request(1, "unknown", u32::MAX, u32::MAX) };
+        assert_eq!(dispatcher.submit(unbounded, Timestamp::ZERO), Err(NotRun::new(NotRunReason::InvalidRequest)));
         let _ = dispatcher.submit(request(2, "unknown", 0, 0), Timestamp::ZERO);
         let _ = dispatcher.submit(request(3, SHORT, 199_000, 1_000), Timestamp::ZERO);
         let _ = dispatcher.poll(Timestamp::ZERO);
--- a/crates/core/tests/dispatch_retries.rs
+++ b/crates/core/tests/dispatch_retries.rs
@@ -1,4 +1,4 @@
-//! Retries, their budget, and the ejection of engines that fail.
+//! Retries, the retry budget, and the ejection of failing engines.
 
 mod dispatch_support;
 
@@ -16,23 +16,23 @@
 use havengate_core::world::EngineName;
 use havengate_core::world::EngineRole::Mixed;
 
-const CUT: AttemptOutcome = AttemptOutcome::MayHaveRun(MayHaveRun::AnswerCut);
+const ANSWER_CUT: AttemptOutcome = AttemptOutcome::MayHaveRun(MayHaveRun::AnswerCut);
 
 fn two_engines() -> Dispatcher {
     dispatcher(DispatchConfig::default(), "least_loaded", &[Mixed, Mixed])
 }
 
-/// The engine, attempt and resume point of the only start.
-fn the_start(dispatcher: &mut Dispatcher, now: Timestamp) -> (EngineName, u32, u32) {
+/// Polls and returns the engine, attempt and resume point of the only action, which must be a start.
+fn only_start(dispatcher: &mut Dispatcher, now: Timestamp) -> (EngineName, u32, u32) {
     match dispatcher.poll(now).as_slice() {
         [DispatchAction::Start { placement, attempt, resume_from, .. }] => {
             (placement.decode.clone(), *attempt, *resume_from)
         }
-        other => panic!("one start expected, not {other:?}"),
+        other => panic!("expected exactly one start, got {other:?}"),
     }
 }
 
-fn end(dispatcher: &mut Dispatcher, outcome: AttemptOutcome, now: Timestamp) {
+fn end_attempt(dispatcher: &mut Dispatcher, outcome: AttemptOutcome, now: Timestamp) {
     dispatcher.step(EngineEvent::Ended { request: RequestId(1), outcome }, now);
 }
 
@@ -41,21 +41,21 @@
 }
 
 #[test]
-fn a_refusal_is_retried_on_another_engine_even_for_a_request_that_must_not_be_repeated() {
+fn a_refused_request_is_retried_on_another_engine_even_if_it_must_not_be_repeated() {
     let now = Timestamp::ZERO;
     let mut dispatcher = two_engines();
-    dispatcher.submit(request(1, ONCE, 100, 10), now).expect("room");
-    let (first, ..) = the_start(&mut dispatcher, now);
-    end(&mut dispatcher, AttemptOutcome::NotRun, now);
-    let (second, attempt, resume_from) = the_start(&mut dispatcher, now);
+    dispatcher.submit(request(1, ONCE, 100, 10), now).expect("accepted");
+    let (first, ..) = only_start(&mut dispatcher, now);
+    end_attempt(&mut dispatcher, AttemptOutcome::NotRun, now);
+    let (second, attempt, resume_from) = only_start(&mut dispatcher, now);
     assert_ne!(first, second);
     assert_eq!((attempt, resume_from), (2, 0));
-    end(&mut dispatcher, AttemptOutcome::NotRun, now);
+    end_attempt(&mut dispatcher, AttemptOutcome::NotRun, now);
     let actions = dispatcher.poll(now);
     assert!(
         matches!(&actions[..], [DispatchAction::End { verdict: Verdict::NotRun(refusal), .. }]
             if refusal.reason == NotRunReason::NoEngine && refusal.retry_after.is_some()),
-        "no engine is left: {actions:?}"
+        "expected a refusal because no engine is left: {actions:?}"
     );
 }
 
@@ -67,27 +67,27 @@
     let keyed = RequestProfile { key: Some(key), ..request(1, SHORT, 100, 10) };
     for profile in [once, keyed] {
         let mut dispatcher = two_engines();
-        dispatcher.submit(profile, now).expect("room");
-        the_start(&mut dispatcher, now);
-        end(&mut dispatcher, CUT, now);
+        dispatcher.submit(profile, now).expect("accepted");
+        only_start(&mut dispatcher, now);
+        end_attempt(&mut dispatcher, ANSWER_CUT, now);
         assert_eq!(dispatcher.poll(now), ended_as(Verdict::MayHaveRun(MayHaveRun::AnswerCut)));
     }
     let mut dispatcher = two_engines();
-    dispatcher.submit(request(1, SHORT, 100, 10), now).expect("room");
-    let (first, ..) = the_start(&mut dispatcher, now);
+    dispatcher.submit(request(1, SHORT, 100, 10), now).expect("accepted");
+    let (first, ..) = only_start(&mut dispatcher, now);
     dispatcher.step(EngineEvent::FirstToken { request: RequestId(1) }, now);
     dispatcher.step(EngineEvent::Progress { request: RequestId(1), tokens: 4 }, now);
-    end(&mut dispatcher, CUT, now);
-    let (second, attempt, resume_from) = the_start(&mut dispatcher, now);
+    end_attempt(&mut dispatcher, ANSWER_CUT, now);
+    let (second, attempt, resume_from) = only_start(&mut dispatcher, now);
     assert_ne!(first, second);
     assert_eq!((attempt, resume_from), (2, 4));
-    end(&mut dispatcher, AttemptOutcome::NotRun, now);
+    end_attempt(&mut dispatcher, AttemptOutcome::NotRun, now);
     let verdict = Verdict::MayHaveRun(MayHaveRun::AnswerCut);
-    assert_eq!(dispatcher.poll(now), ended_as(verdict), "an earlier attempt may have run, whatever the last one did");
+    assert_eq!(dispatcher.poll(now), ended_as(verdict), "an earlier attempt may have run, though not the last one");
 }
 
 #[test]
-fn a_retry_does_not_exceed_the_bound_of_the_queue() {
+fn a_retry_does_not_exceed_the_queue_maximum() {
     let now = Timestamp::ZERO;
     let config = DispatchConfig { queue_maximum: 1, ..DispatchConfig::default() };
     let mut dispatcher = dispatcher(config, "least_loaded", &[Mixed, Mixed]);
@@ -95,19 +95,19 @@
     one_at_a_time.iter_mut().for_each(|slot| slot.performance.batch_maximum = 1);
     dispatcher.set_engines(one_at_a_time);
     for id in 1..=3 {
-        dispatcher.submit(request(id, SHORT, 100, 10), now).expect("room");
+        dispatcher.submit(request(id, SHORT, 100, 10), now).expect("accepted");
         dispatcher.poll(now);
     }
-    assert_eq!(dispatcher.waiting(), 1, "two run and one waits");
+    assert_eq!(dispatcher.waiting(), 1, "two requests run and one waits");
     let outcome = AttemptOutcome::NotRun;
     dispatcher.step(EngineEvent::Ended { request: RequestId(1), outcome }, now);
     assert_eq!(dispatcher.waiting(), 1);
     let ends = |action: &DispatchAction| matches!(action, DispatchAction::End { request: RequestId(1), .. });
-    assert!(dispatcher.poll(now).iter().any(ends), "it is given up at once");
+    assert!(dispatcher.poll(now).iter().any(ends), "the request is given up at once");
 }
 
 #[test]
-fn retries_in_a_crash_storm_stay_within_the_budget() {
+fn retries_under_frequent_crashes_stay_within_the_budget() {
     for seed in 1..=5 {
         let roles = [Mixed; 6];
         let mut pool = SimulatedPool::new(dispatcher(DispatchConfig::default(), "cost", &roles), slots(&roles));
@@ -127,15 +127,15 @@
         pool.run_until(Timestamp::from_millis(200_000));
         pool.history.check_all_ended();
         let counters = pool.dispatcher.counters();
-        let first_attempts = pool.history.lives.values().filter(|life| life.starts > 0).count();
+        let first_attempts = pool.history.records.values().filter(|record| record.starts > 0).count();
         let bound = first_attempts as f64 * 0.1 + RetryBudgetConfig::default().burst;
-        println!("seed {seed}: {} retries of {first_attempts} first attempts, bound {bound}", counters.retries);
+        println!("seed {seed}: {} retries for {first_attempts} first attempts, bound {bound}", counters.retries);
         assert!(counters.retries as f64 <= bound, "{counters:?}");
-        assert!(counters.retries_denied > 0, "the storm is larger than the budget: {counters:?}");
+        assert!(counters.retries_denied > 0, "the crashes exceed the retry budget: {counters:?}");
     }
 }
 
-/// Starts on each engine while requests come steadily from `from` to `until`, in milliseconds.
+/// Counts the starts on each engine while a request arrives every 100 ms between `from` and `until`, in milliseconds.
 fn starts_by_engine(pool: &mut SimulatedPool, contract: &str, from: u64, until: u64) -> BTreeMap<EngineName, usize> {
     let before: BTreeMap<EngineName, usize> = pool.starts_by_engine.clone();
     for at in (from..until).step_by(100) {
@@ -158,7 +158,7 @@
     pool.engines.get_mut(&failing).expect("a known engine").down = false;
     pool.run_until(Timestamp::from_millis(50_000));
     let starts = starts_by_engine(&mut pool, SHORT, 50_000, 60_000);
-    assert!(starts[&failing] > 25, "it gets its share again: {starts:?}");
+    assert!(starts[&failing] > 25, "the recovered engine gets its share again: {starts:?}");
 }
 
 #[test]
@@ -166,30 +166,30 @@
     let mut dispatcher = dispatcher(DispatchConfig::default(), "round_robin", &[Mixed]);
     for id in 0..20 {
         let now = Timestamp::from_millis(id * 100);
-        dispatcher.submit(request(u128::from(id), SHORT, 100, 10), now).expect("room");
+        dispatcher.submit(request(u128::from(id), SHORT, 100, 10), now).expect("accepted");
         dispatcher.poll(now);
-        let outcome = if id % 2 == 0 { CUT } else { AttemptOutcome::Completed };
+        let outcome = if id % 2 == 0 { ANSWER_CUT } else { AttemptOutcome::Completed };
         dispatcher.step(EngineEvent::Ended { request: RequestId(u128::from(id)), outcome }, now);
     }
     assert!(dispatcher.counters().ejections >= 1);
 }
 
 #[test]
-fn a_request_that_must_not_be_repeated_is_no_early_probe() {
+fn a_request_that_must_not_be_repeated_is_not_used_as_an_early_probe() {
     let mut dispatcher = dispatcher(DispatchConfig::default(), "cost", &[Mixed]);
     for id in 1..=3 {
-        dispatcher.submit(request(id, ONCE, 100, 10), Timestamp::ZERO).expect("room");
+        dispatcher.submit(request(id, ONCE, 100, 10), Timestamp::ZERO).expect("accepted");
     }
     dispatcher.poll(Timestamp::ZERO);
     for id in 1..=3 {
-        dispatcher.step(EngineEvent::Ended { request: RequestId(id), outcome: CUT }, Timestamp::ZERO);
+        dispatcher.step(EngineEvent::Ended { request: RequestId(id), outcome: ANSWER_CUT }, Timestamp::ZERO);
     }
     dispatcher.poll(Timestamp::ZERO);
     assert_eq!(dispatcher.counters().ejections, 1);
     let back_off = Duration::from_secs(1);
-    let when_probed = Timestamp::ZERO + back_off;
-    dispatcher.submit(request(4, ONCE, 100, 10), when_probed).expect("room");
-    assert_eq!(dispatcher.poll(when_probed), Vec::new(), "it waits for a repeatable probe");
-    let (_, attempt, _) = the_start(&mut dispatcher, when_probed + back_off);
-    assert_eq!(attempt, 1, "none came: it is the probe");
+    let probe_time = Timestamp::ZERO + back_off;
+    dispatcher.submit(request(4, ONCE, 100, 10), probe_time).expect("accepted");
+    assert_eq!(dispatcher.poll(probe_time), Vec::new(), "the request waits for a repeatable request to be the probe");
+    let (_, attempt, _) = only_start(&mut dispatcher, probe_time + back_off);
+    assert_eq!(attempt, 1, "without a repeatable request it becomes the probe");
 }
--- a/crates/core/tests/dispatch_retry_budget.rs
+++ b/crates/core/tests/dispatch_retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget bounds retries by the traffic.
+//! The retry budget limits retries to a share of the traffic.
 
 use arbtest::arbtest;
 use havengate_core::dispatch::{RetryBudget, RetryBudgetConfig};
@@ -18,7 +18,7 @@
                     retries += 1;
                 }
                 let bound = f64::from(attempts) * config.ratio + config.burst;
-                assert!(f64::from(retries) <= bound + 1e-6, "{retries} retries of {attempts} attempts");
+                assert!(f64::from(retries) <= bound + 1e-6, "{retries} retries for {attempts} first attempts");
             }
             Ok(())
         })
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_quiet_time_saves_up_no_more_than_the_burst() {
+fn the_balance_is_capped_at_the_burst() {
     let mut budget = RetryBudget::new(RetryBudgetConfig { ratio: 0.1, burst: 3.0 });
     (0..1_000).for_each(|_| budget.record_first_attempt());
     let granted = (0..100).filter(|_| budget.try_withdraw()).count();
--- a/crates/core/tests/dispatch_support/engine.rs
+++ b/crates/core/tests/dispatch_support/engine.rs
@@ -1,4 +1,4 @@
-//! A simulated engine: continuous batching, prompts read in pieces between generation steps.
+//! A simulated engine with continuous batching and chunked prefill between generation steps.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,28 +8,28 @@
 
 const PIECE_TOKENS: u32 = 2_000;
 
-/// What an engine has been given of a request.
+/// The stage of a request that was placed on an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Task {
     pub request: RequestId,
     pub attempt: u32,
-    pub unread: u32,
+    pub prompt_tokens_left: u32,
     pub kv_tokens: u32,
     pub prefill_only: bool,
     pub tokens_left: u32,
 }
 
-/// What a step of the engine brought about.
+/// A result of an engine step.
 #[derive(Clone, Copy, Debug)]
 pub enum StepResult {
-    PromptRead(Task),
+    PrefillDone(Task),
     FirstToken(Task),
     Token { task: Task, last: bool },
 }
 
 #[derive(Debug, Default)]
 struct Plan {
-    reads: Option<(RequestId, u32)>,
+    prefills: Option<(RequestId, u32)>,
     generates: Vec<RequestId>,
 }
 
@@ -38,16 +38,16 @@
     pub performance: EnginePerformance,
     pub slowdown: f64,
     pub down: bool,
-    /// Counts crashes, so that a step that began before one is void.
-    pub life: u32,
+    /// Counts crashes, so that a step that began before a crash is ignored.
+    pub incarnation: u32,
     pub stepping: bool,
-    /// What the step in progress does; what comes in the middle of it waits for the next.
+    /// The work of the step in progress; tasks that arrive during it wait for the next step.
     plan: Plan,
-    unread: VecDeque<Task>,
+    prefill_queue: VecDeque<Task>,
     generating: BTreeMap<RequestId, Task>,
-    /// KV caches that were read for other engines and have not moved yet.
+    /// KV tokens of prompts that were prefilled for other engines and have not moved yet.
     exported: BTreeMap<RequestId, u32>,
-    /// Places that are taken by requests whose prompt another engine reads.
+    /// Requests that hold a batch slot here while another engine prefills their prompt.
     pub expected: BTreeMap<RequestId, Task>,
 }
 
@@ -57,10 +57,10 @@
             performance,
             slowdown: 1.0,
             down: false,
-            life: 0,
+            incarnation: 0,
             stepping: false,
             plan: Plan::default(),
-            unread: VecDeque::new(),
+            prefill_queue: VecDeque::new(),
             generating: BTreeMap::new(),
             exported: BTreeMap::new(),
             expected: BTreeMap::new(),
@@ -68,8 +68,8 @@
     }
 
     pub fn accept(&mut self, task: Task) {
-        if task.unread > 0 {
-            self.unread.push_back(task);
+        if task.prompt_tokens_left > 0 {
+            self.prefill_queue.push_back(task);
         } else {
             self.expected.remove(&task.request);
             self.generating.insert(task.request, task);
@@ -78,7 +78,7 @@
     }
 
     pub fn check_limits(&self) {
-        let tasks = self.unread.iter().chain(self.generating.values()).chain(self.expected.values());
+        let tasks = self.prefill_queue.iter().chain(self.generating.values()).chain(self.expected.values());
         let kv: u32 = tasks.clone().map(|task| task.kv_tokens).sum::<u32>() + self.exported.values().sum::<u32>();
         let requests = tasks.count() + self.exported.len();
         assert!(kv <= self.performance.kv_capacity_tokens, "{kv} KV tokens on one engine");
@@ -89,39 +89,40 @@
         self.exported.remove(&request);
     }
 
-    pub fn has(&self, request: RequestId) -> bool {
-        self.generating.contains_key(&request) || self.unread.iter().any(|task| task.request == request)
+    pub fn contains(&self, request: RequestId) -> bool {
+        self.generating.contains_key(&request) || self.prefill_queue.iter().any(|task| task.request == request)
     }
 
     pub fn remove(&mut self, request: RequestId) -> bool {
-        let had = self.has(request) || self.exported.contains_key(&request) || self.expected.contains_key(&request);
-        self.unread.retain(|task| task.request != request);
+        let was_present =
+            self.contains(request) || self.exported.contains_key(&request) || self.expected.contains_key(&request);
+        self.prefill_queue.retain(|task| task.request != request);
         self.generating.remove(&request);
         self.exported.remove(&request);
         self.expected.remove(&request);
-        had
+        was_present
     }
 
     pub fn crash(&mut self) -> Vec<Task> {
-        self.life += 1;
+        self.incarnation += 1;
         self.stepping = false;
         self.exported.clear();
-        let mut lost: Vec<Task> = self.unread.drain(..).collect();
+        let mut lost: Vec<Task> = self.prefill_queue.drain(..).collect();
         lost.extend(std::mem::take(&mut self.generating).into_values());
         lost.extend(std::mem::take(&mut self.expected).into_values());
         lost
     }
 
-    /// Plans the next step; returns how long it takes, if there is anything to do.
+    /// Plans the next step; returns its duration, or `None` if there is no work.
     pub fn plan_step(&mut self) -> Option<Duration> {
-        let reads = self.unread.front().map(|task| (task.request, task.unread.min(PIECE_TOKENS)));
-        self.plan = Plan { reads, generates: self.generating.keys().copied().collect() };
+        let prefills = self.prefill_queue.front().map(|task| (task.request, task.prompt_tokens_left.min(PIECE_TOKENS)));
+        self.plan = Plan { prefills, generates: self.generating.keys().copied().collect() };
         let generation = match self.plan.generates.len() {
-            0 if reads.is_none() => return None,
+            0 if prefills.is_none() => return None,
             0 => Duration::ZERO,
             requests => self.performance.step_time_of(requests as u32),
         };
-        let piece = reads.map_or(0, |(_, tokens)| tokens);
+        let piece = prefills.map_or(0, |(_, tokens)| tokens);
         Some((generation + self.performance.read_time(piece)).mul_f64(self.slowdown))
     }
 
@@ -135,22 +136,22 @@
             }
         }
         self.generating.retain(|_, task| task.tokens_left > 0);
-        if let Some(first) = self.unread.front_mut()
-            && let Some((_, piece)) = plan.reads.filter(|(request, _)| *request == first.request)
+        if let Some(first) = self.prefill_queue.front_mut()
+            && let Some((_, piece)) = plan.prefills.filter(|(request, _)| *request == first.request)
         {
-            first.unread -= piece;
-            if first.unread == 0 {
-                results.extend(self.prompt_done());
+            first.prompt_tokens_left -= piece;
+            if first.prompt_tokens_left == 0 {
+                results.extend(self.finish_prefill());
             }
         }
         results
     }
 
-    fn prompt_done(&mut self) -> Option<StepResult> {
-        let task = self.unread.pop_front()?;
+    fn finish_prefill(&mut self) -> Option<StepResult> {
+        let task = self.prefill_queue.pop_front()?;
         if task.prefill_only {
             self.exported.insert(task.request, task.kv_tokens);
-            return Some(StepResult::PromptRead(task));
+            return Some(StepResult::PrefillDone(task));
         }
         self.generating.insert(task.request, task);
         Some(StepResult::FirstToken(task))
--- a/crates/core/tests/dispatch_support/history.rs
+++ b/crates/core/tests/dispatch_support/history.rs
@@ -1,4 +1,4 @@
-//! What happened to each request, with the guarantees checked as it happens.
+//! Records what happened to each request, and checks the dispatcher's guarantees at each event.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use havengate_core::time::Timestamp;
 use havengate_core::verdict::{NotRun, Verdict};
 
-/// One request's life.
+/// The record of one request.
 #[derive(Debug)]
-pub struct Life {
+pub struct RequestRecord {
     pub profile: RequestProfile,
     pub repeatable: bool,
     pub arrived: Timestamp,
     pub refused: Option<NotRun>,
     pub revoked: Option<Revocation>,
     pub starts: u32,
-    /// Attempts that an engine took on.
+    /// Attempts that an engine accepted.
     pub runs: u32,
     pub first_token_at: Option<Timestamp>,
     /// Tokens that reached the caller.
@@ -25,7 +25,7 @@
     pub ended: Option<(Timestamp, Verdict)>,
 }
 
-impl Life {
+impl RequestRecord {
     pub fn has_ended(&self) -> bool {
         self.refused.is_some() || self.ended.is_some() || self.revoked == Some(Revocation::BeforeStart)
     }
@@ -37,16 +37,16 @@
 
 #[derive(Debug, Default)]
 pub struct History {
-    pub lives: BTreeMap<RequestId, Life>,
+    pub records: BTreeMap<RequestId, RequestRecord>,
 }
 
 impl History {
-    pub fn life(&mut self, request: RequestId) -> &mut Life {
-        self.lives.get_mut(&request).expect("the request was submitted")
+    pub fn record(&mut self, request: RequestId) -> &mut RequestRecord {
+        self.records.get_mut(&request).expect("the request was submitted")
     }
 
     pub fn arrived(&mut self, profile: &RequestProfile, repeatable: bool, now: Timestamp) {
-        let life = Life {
+        let record = RequestRecord {
             profile: profile.clone(),
             repeatable,
             arrived: now,
@@ -58,51 +58,51 @@
             tokens: 0,
             ended: None,
         };
-        self.lives.insert(profile.id, life);
+        self.records.insert(profile.id, record);
     }
 
     pub fn started(&mut self, request: RequestId, attempt: u32, resume_from: u32) {
-        let life = self.life(request);
-        assert!(!life.has_ended(), "{request} started after its end: {life:?}");
-        life.starts += 1;
-        assert_eq!(life.starts, attempt, "attempts are counted");
-        assert_eq!(resume_from, life.tokens, "an attempt goes on after the tokens that were delivered");
+        let record = self.record(request);
+        assert!(!record.has_ended(), "{request} started after its end: {record:?}");
+        record.starts += 1;
+        assert_eq!(record.starts, attempt, "the attempt number equals the number of starts");
+        assert_eq!(resume_from, record.tokens, "an attempt resumes after the delivered tokens");
     }
 
     pub fn ran(&mut self, request: RequestId) {
-        let life = self.life(request);
-        life.runs += 1;
-        assert!(life.runs == 1 || life.repeatable, "{request} must not be repeated and ran twice");
+        let record = self.record(request);
+        record.runs += 1;
+        assert!(record.runs == 1 || record.repeatable, "{request} must not be repeated and ran twice");
     }
 
     pub fn ended(&mut self, request: RequestId, verdict: Verdict, now: Timestamp) {
-        let life = self.life(request);
-        assert!(!life.has_ended(), "{request} ended twice: {life:?}, then {verdict:?}");
-        assert!(!matches!(verdict, Verdict::NotRun(_)) || life.runs == 0, "{request} ended as not run, but ran");
+        let record = self.record(request);
+        assert!(!record.has_ended(), "{request} ended twice: {record:?}, then {verdict:?}");
+        assert!(!matches!(verdict, Verdict::NotRun(_)) || record.runs == 0, "{request} ended as not run, but ran");
         if verdict == Verdict::Completed {
-            assert_eq!(life.tokens, output_tokens(&life.profile), "{request}: the answer isn't whole");
+            assert_eq!(record.tokens, output_tokens(&record.profile), "{request}: the answer is incomplete");
         }
-        life.ended = Some((now, verdict));
+        record.ended = Some((now, verdict));
     }
 
     pub fn check_all_ended(&self) {
-        for (request, life) in &self.lives {
-            assert!(life.has_ended(), "{request} has no end: {life:?}");
+        for (request, record) in &self.records {
+            assert!(record.has_ended(), "{request} has no end: {record:?}");
         }
     }
 
-    /// Requests that completed within their contract's times.
+    /// The number of requests that completed within the times of their contract.
     pub fn met(&self, first_token_within: impl Fn(&RequestProfile) -> Duration) -> usize {
-        let met = |life: &&Life| {
-            let in_time = life.time_to_first_token().is_some_and(|time| time <= first_token_within(&life.profile));
-            let completed = matches!(life.ended, Some((_, Verdict::Completed)));
-            completed && in_time && life.mean_interval() <= Duration::from_millis(100)
+        let met = |record: &&RequestRecord| {
+            let in_time = record.time_to_first_token().is_some_and(|time| time <= first_token_within(&record.profile));
+            let completed = matches!(record.ended, Some((_, Verdict::Completed)));
+            completed && in_time && record.mean_interval() <= Duration::from_millis(100)
         };
-        self.lives.values().filter(met).count()
+        self.records.values().filter(met).count()
     }
 }
 
-impl Life {
+impl RequestRecord {
     pub fn mean_interval(&self) -> Duration {
         match (self.first_token_at, &self.ended) {
             (Some(first), Some((end, _))) => end.since(first) / self.tokens.saturating_sub(1).max(1),
@@ -111,7 +111,7 @@
     }
 }
 
-/// Tokens that the answer to a request has: between half and all of those allowed.
+/// The length of the answer to a request, in tokens: between half of the allowed maximum and all of it.
 pub fn output_tokens(profile: &RequestProfile) -> u32 {
     let allowed = profile.max_output_tokens;
     (allowed / 2 + (profile.id.0 as u32).wrapping_mul(2_654_435_761) % (allowed / 2).max(1)).max(1)
--- a/crates/core/tests/dispatch_support/mod.rs
+++ b/crates/core/tests/dispatch_support/mod.rs
@@ -1,4 +1,4 @@
-//! A pool of simulated engines in virtual time around a real dispatcher, with a history of what ran where.
+//! A real dispatcher with a pool of simulated engines in virtual time, and a history of each request.
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
 
@@ -14,7 +14,7 @@
 use havengate_core::request::{RequestId, RequestProfile};
 use havengate_core::world::{Contract, EngineName, EnginePerformance, EngineRole, TenantName};
 
-pub use history::Life;
+pub use history::RequestRecord;
 pub use pool::SimulatedPool;
 
 pub const SHORT: &str = "short";
--- a/crates/core/tests/dispatch_support/pool.rs
+++ b/crates/core/tests/dispatch_support/pool.rs
@@ -1,4 +1,4 @@
-//! The simulation: events in the order of virtual time.
+//! Discrete-event simulation of a pool: handles events in the order of virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,8 +21,8 @@
 enum Event {
     Arrive(RequestProfile),
     Start { request: RequestId, placement: Placement, attempt: u32, resume_from: u32 },
-    Step { engine: EngineName, life: u32 },
-    Moved { from: EngineName, to: EngineName, task: Task },
+    Step { engine: EngineName, incarnation: u32 },
+    KvMoved { from: EngineName, to: EngineName, task: Task },
     Cancel { engine: EngineName, request: RequestId },
     Report(EngineEvent),
     Poll,
@@ -38,7 +38,7 @@
     events: BTreeMap<(Timestamp, u64), Event>,
     sequence: u64,
     pub starts_by_engine: BTreeMap<EngineName, usize>,
-    /// The attempt that runs now, so that what is left of an earlier one is void.
+    /// The current attempt, so that late events of an earlier one are ignored.
     attempts: BTreeMap<RequestId, (u32, Placement)>,
 }
 
@@ -77,13 +77,13 @@
 
     pub fn revoke(&mut self, request: RequestId) -> Revocation {
         let answer = self.dispatcher.revoke(request, self.now);
-        let life = self.history.life(request);
-        let first = life.ended.is_none() && life.refused.is_none() && life.revoked.is_none();
+        let record = self.history.record(request);
+        let first = record.ended.is_none() && record.refused.is_none() && record.revoked.is_none();
         if answer == Revocation::BeforeStart {
-            assert_eq!(life.runs, 0, "{request} was revoked before its start, but ran");
+            assert_eq!(record.runs, 0, "{request} was revoked before its start, but ran");
         }
         if first {
-            life.revoked = Some(answer);
+            record.revoked = Some(answer);
         }
         self.poll();
         answer
@@ -123,7 +123,7 @@
             }
         }
         if let Some(next) = self.dispatcher.next_poll() {
-            assert!(next > self.now, "the next poll lies ahead");
+            assert!(next > self.now, "the next poll is in the future");
             self.schedule(next, Event::Poll);
         }
     }
@@ -131,7 +131,7 @@
     fn check_start(&self, placement: &Placement) {
         for name in placement.engines() {
             let slot = self.slots.iter().find(|slot| slot.name == *name).expect("a known engine");
-            assert_eq!(slot.availability, EngineAvailability::Serving, "{name} gets no new work");
+            assert_eq!(slot.availability, EngineAvailability::Serving, "{name} isn't serving and must get no new work");
         }
     }
 
@@ -154,10 +154,10 @@
             Event::Start { request, placement, attempt, resume_from } => {
                 self.start(request, &placement, attempt, resume_from);
             }
-            Event::Step { engine, life } => self.step(&engine, life),
-            Event::Moved { from, to, task } => self.moved(&from, &to, task),
-            Event::Cancel { engine, request } => self.cancelled(&engine, request),
-            Event::Report(event) => self.reported(event),
+            Event::Step { engine, incarnation } => self.step(&engine, incarnation),
+            Event::KvMoved { from, to, task } => self.kv_moved(&from, &to, task),
+            Event::Cancel { engine, request } => self.cancel(&engine, request),
+            Event::Report(event) => self.deliver_report(event),
             Event::Poll => {}
         }
     }
@@ -165,15 +165,15 @@
     fn submit(&mut self, profile: RequestProfile) {
         let contract = contracts().into_iter().find(|contract| contract.name == profile.contract);
         let repeatable = profile.key.is_none() && contract.is_some_and(|contract| contract.repeatable);
-        if !self.history.lives.contains_key(&profile.id) {
+        if !self.history.records.contains_key(&profile.id) {
             self.history.arrived(&profile, repeatable, self.now);
         }
         let request = profile.id;
         if let Err(refusal) = self.dispatcher.submit(profile, self.now) {
-            let life = self.history.life(request);
-            assert_eq!(life.runs, 0, "{request} was refused as not run, but ran");
-            if !life.has_ended() {
-                life.refused = Some(refusal);
+            let record = self.history.record(request);
+            assert_eq!(record.runs, 0, "{request} was refused as not run, but ran");
+            if !record.has_ended() {
+                record.refused = Some(refusal);
             }
         }
     }
@@ -183,23 +183,23 @@
             return self.end_attempt(request, attempt, AttemptOutcome::NotRun);
         }
         self.history.ran(request);
-        let profile = self.history.life(request).profile.clone();
+        let profile = self.history.record(request).profile.clone();
         let task = Task {
             request,
             attempt,
-            unread: profile.prompt_tokens.max(1),
+            prompt_tokens_left: profile.prompt_tokens.max(1),
             kv_tokens: profile.prompt_tokens + profile.max_output_tokens,
             prefill_only: false,
             tokens_left: output_tokens(&profile) - resume_from,
         };
-        let reader = placement.engines().next().expect("a placement has an engine").clone();
+        let prefill_engine = placement.engines().next().expect("a placement has an engine").clone();
         if placement.prefill.is_some() {
             let decode = self.engines.get_mut(&placement.decode).expect("a known engine");
             decode.expected.insert(request, task);
             decode.check_limits();
-            self.accept(&reader, Task { prefill_only: true, kv_tokens: profile.prompt_tokens, ..task });
+            self.accept(&prefill_engine, Task { prefill_only: true, kv_tokens: profile.prompt_tokens, ..task });
         } else {
-            self.accept(&reader, task);
+            self.accept(&prefill_engine, task);
         }
     }
 
@@ -216,14 +216,14 @@
         }
         if let Some(duration) = engine.plan_step() {
             engine.stepping = true;
-            let step = Event::Step { engine: name.clone(), life: engine.life };
+            let step = Event::Step { engine: name.clone(), incarnation: engine.incarnation };
             self.schedule(self.now + duration, step);
         }
     }
 
-    fn step(&mut self, name: &EngineName, life: u32) {
+    fn step(&mut self, name: &EngineName, incarnation: u32) {
         let engine = self.engines.get_mut(name).expect("a known engine");
-        if engine.life != life {
+        if engine.incarnation != incarnation {
             return;
         }
         engine.stepping = false;
@@ -242,35 +242,35 @@
                     self.end_attempt(task.request, task.attempt, AttemptOutcome::Completed);
                 }
             }
-            StepResult::PromptRead(task) => {
+            StepResult::PrefillDone(task) => {
                 self.report(EngineEvent::PrefillDone { request: task.request });
                 let Some((_, placement)) = self.attempts.get(&task.request) else { return };
-                let moved = Event::Moved { from: name.clone(), to: placement.decode.clone(), task };
+                let kv_moved = Event::KvMoved { from: name.clone(), to: placement.decode.clone(), task };
                 let transfer = self.engines[name].performance.transfer_time(task.kv_tokens);
-                self.schedule(self.now + transfer, moved);
+                self.schedule(self.now + transfer, kv_moved);
             }
         }
     }
 
-    fn moved(&mut self, from: &EngineName, to: &EngineName, task: Task) {
+    fn kv_moved(&mut self, from: &EngineName, to: &EngineName, task: Task) {
         if let Some(engine) = self.engines.get_mut(from) {
             engine.release_export(task.request);
         }
         let Some(expected) = self.engines[to].expected.get(&task.request).copied() else { return };
         if expected.attempt == task.attempt {
             self.report(EngineEvent::FirstToken { request: task.request });
-            self.accept(to, Task { unread: 0, ..expected });
+            self.accept(to, Task { prompt_tokens_left: 0, ..expected });
         }
     }
 
-    fn cancelled(&mut self, name: &EngineName, request: RequestId) {
+    fn cancel(&mut self, name: &EngineName, request: RequestId) {
         let Some((attempt, _)) = self.attempts.get(&request).cloned() else { return };
         if self.engines.get_mut(name).is_some_and(|engine| engine.remove(request)) {
             self.end_attempt(request, attempt, AttemptOutcome::MayHaveRun(MayHaveRun::CallerGone));
         }
     }
 
-    /// Ends an attempt once, however many of its engines notice.
+    /// Ends an attempt once, even if several of its engines report the end.
     fn end_attempt(&mut self, request: RequestId, attempt: u32, outcome: AttemptOutcome) {
         let Some((current, placement)) = self.attempts.get(&request).cloned() else { return };
         if current != attempt {
@@ -283,13 +283,13 @@
         self.report(EngineEvent::Ended { request, outcome });
     }
 
-    fn reported(&mut self, event: EngineEvent) {
+    fn deliver_report(&mut self, event: EngineEvent) {
         match &event {
             EngineEvent::FirstToken { request } => {
                 let now = self.now;
-                self.history.life(*request).first_token_at.get_or_insert(now);
+                self.history.record(*request).first_token_at.get_or_insert(now);
             }
-            EngineEvent::Progress { request, tokens } => self.history.life(*request).tokens += tokens,
+            EngineEvent::Progress { request, tokens } => self.history.record(*request).tokens += tokens,
             _ => {}
         }
         self.dispatcher.step(event, self.now);
