--- a/crates/core/src/duties/fleet/policy.rs
+++ b/crates/core/src/duties/fleet/policy.rs
@@ -162,7 +162,7 @@
         let size = f64::from(baseline.engines);
         // A single zone has no other zone to hedge with, and preemptible engines at the full price save nothing.
         let is_size_supported = (1..=self.config.engines_maximum).contains(&baseline.engines);
-        if zones < 2 || !is_size_supported || limits.preemptible_price >= Price::WHOLE {
+        if zones < 2 || !is_size_supported || limits.preemptible_price >= Price::FULL {
             return None;
         }
         let on_demand = (size * self.config.on_demand_share / f64::from(zones)).ceil();
--- a/crates/core/src/relay/engine_cache.rs
+++ b/crates/core/src/relay/engine_cache.rs
@@ -27,7 +27,7 @@
 impl EngineCache {
     /// The tokens at the start of a prompt that need not be read again, with `room` tokens believed to be kept: the
     /// shared parts from the first up to the first that is missing.
-    pub(super) fn kept_tokens_of(&self, shared_parts: &[PromptPart], room: u64) -> u32 {
+    pub(super) fn cached_tokens_of(&self, shared_parts: &[PromptPart], room: u64) -> u32 {
         self.kept_start(shared_parts, room).map(|(part, _)| part.tokens).sum()
     }
 
@@ -48,8 +48,8 @@
 
     /// Notes that the engine has read a prompt of `tokens`, or got its KV cache: each shared part is used now, and what
     /// it did not keep was brought in.
-    pub(super) fn use_prompt(&mut self, shared_parts: &[PromptPart], tokens: u32, room: u64, now: Timestamp) {
-        let brought = tokens.saturating_sub(self.kept_tokens_of(shared_parts, room));
+    pub(super) fn record_prompt(&mut self, shared_parts: &[PromptPart], tokens: u32, room: u64, now: Timestamp) {
+        let brought = tokens.saturating_sub(self.cached_tokens_of(shared_parts, room));
         self.brought += u64::from(brought);
         let brought_before = self.brought;
         for part in shared_parts {
@@ -60,7 +60,7 @@
     }
 
     /// The parts, those used last first, so many at most.
-    pub(super) fn told_parts(&self, parts_maximum: usize) -> Vec<AnnouncedPart> {
+    pub(super) fn announced_parts(&self, parts_maximum: usize) -> Vec<AnnouncedPart> {
         let told = self.parts.iter().map(|(id, kept)| AnnouncedPart {
             part: PromptPart { id: *id, tokens: kept.tokens },
             brought_since: self.brought - kept.brought_before,
--- a/crates/core/src/relay/engine_model.rs
+++ b/crates/core/src/relay/engine_model.rs
@@ -63,7 +63,7 @@
 
 impl EngineModel {
     /// Notes that an engine that had nothing else to read took `took` for `tokens`.
-    pub fn observe_reading(&mut self, stage: EngineStage, tokens: u32, took: Duration) {
+    pub fn observe_prefill(&mut self, stage: EngineStage, tokens: u32, took: Duration) {
         if tokens < SAMPLE_MINIMUM_TOKENS {
             return;
         }
@@ -95,7 +95,7 @@
     }
 
     /// The milliseconds in which an engine of `stage` reads `tokens`.
-    pub fn reading_millis(&self, stage: EngineStage, tokens: f64) -> f64 {
+    pub fn prefill_millis(&self, stage: EngineStage, tokens: f64) -> f64 {
         tokens / self.rate(stage)
     }
 
@@ -115,8 +115,8 @@
     /// The estimates by name, for metrics and logs.
     pub fn estimates(&self, now: Timestamp) -> [(&'static str, Estimate); 3] {
         [
-            ("prefill_tokens_per_millisecond", self.prefill.shown()),
-            ("decode_tokens_per_millisecond", self.decode.shown()),
+            ("prefill_tokens_per_millisecond", self.prefill.estimate()),
+            ("decode_tokens_per_millisecond", self.decode.estimate()),
             ("move_milliseconds_per_1000_tokens", self.moves.shown(now)),
         ]
     }
--- a/crates/core/src/relay/moves.rs
+++ b/crates/core/src/relay/moves.rs
@@ -74,11 +74,11 @@
 
     /// What is believed at `now`, in milliseconds a thousand tokens.
     pub fn shown(&self, now: Timestamp) -> Estimate {
-        self.at(now).shown()
+        self.at(now).estimate()
     }
 
     fn at(&self, now: Timestamp) -> QuantileEstimate {
-        self.estimate.faded(share_left(now.since(self.moved_at), LEARNED_HALF_LIFE))
+        self.estimate.decayed(share_left(now.since(self.moved_at), LEARNED_HALF_LIFE))
     }
 
     fn wait_at(&self, now: Timestamp) -> f64 {
--- a/crates/core/src/relay/placement.rs
+++ b/crates/core/src/relay/placement.rs
@@ -32,7 +32,7 @@
     /// To be answered by a plain application.
     Application,
     /// To have a long prompt read, by a prefill engine or by the engine that answers it.
-    Read {
+    Prefill {
         /// The prompt.
         prompt: &'a Prompt,
         /// The time within which it has to be read to be in time; `None`: it is never late.
@@ -43,7 +43,7 @@
         now: Timestamp,
     },
     /// To have a short prompt read by a prefill engine that has nothing else to read.
-    ReadAside {
+    PrefillShort {
         /// What is known of the reading of prompts.
         index: &'a PromptIndex,
         /// The time now.
@@ -64,8 +64,8 @@
     fn takes(&self, back_end: &BackEnd, config: &PlacementConfig) -> bool {
         match self {
             Purpose::Application => back_end.stage.is_none(),
-            Purpose::Read { .. } if config.decode_engines_read => back_end.stage.is_some(),
-            Purpose::Read { .. } | Purpose::ReadAside { .. } => back_end.stage == Some(EngineStage::Prefill),
+            Purpose::Prefill { .. } if config.decode_engines_read => back_end.stage.is_some(),
+            Purpose::Prefill { .. } | Purpose::PrefillShort { .. } => back_end.stage == Some(EngineStage::Prefill),
             Purpose::Decode { .. } => back_end.stage == Some(EngineStage::Decode),
         }
     }
@@ -77,13 +77,13 @@
     /// Its index among the candidates.
     pub index: usize,
     /// The time until a prompt is expected to be read there and ready for its answer; zero where nothing is read.
-    pub reading: Duration,
+    pub expected_time: Duration,
     /// Whether the prompt waits for others there.
-    pub waits: bool,
+    pub has_backlog: bool,
     /// Whether it is expected to be in time.
     pub urgency: Urgency,
     /// The tokens of the prompt that have to be read there; 0 where nothing is read.
-    pub unread: u32,
+    pub uncached_tokens: u32,
 }
 
 impl Placed {
@@ -92,8 +92,8 @@
     ///
     /// Only what waits for others is refused: were an engine with nothing to do taken for too slow, nothing would be sent
     /// there any more that could show the contrary.
-    pub fn is_hopeless(&self, left: Duration, late_stretch: Option<f64>) -> bool {
-        self.waits && self.reading.mul_f64(late_stretch.unwrap_or(1.0)) > left
+    pub fn should_refuse(&self, left: Duration, late_stretch: Option<f64>) -> bool {
+        self.has_backlog && self.expected_time.mul_f64(late_stretch.unwrap_or(1.0)) > left
     }
 }
 
@@ -134,14 +134,20 @@
     config: &PlacementConfig,
     random: &mut fastrand::Rng,
 ) -> Option<Placed> {
-    let at_once = |index| Placed { index, reading: Duration::ZERO, waits: false, urgency: Urgency::InTime, unread: 0 };
+    let at_once = |index| Placed {
+        index,
+        expected_time: Duration::ZERO,
+        has_backlog: false,
+        urgency: Urgency::InTime,
+        uncached_tokens: 0,
+    };
     match purpose {
-        Purpose::Read { prompt, in_time, index, now } => {
+        Purpose::Prefill { prompt, in_time, index, now } => {
             let move_millis_a_token = index.model().move_millis(1.0, *now);
             let readers = Readers { candidates, prompt, index, config, move_millis_a_token, now: *now };
             readers.choose(indexes, *in_time, random)
         }
-        Purpose::ReadAside { index, now } => {
+        Purpose::PrefillShort { index, now } => {
             let is_idle = |candidate: &usize| {
                 let engine = &candidates[*candidate].back_end.id;
                 index.backlog(engine, EngineStage::Prefill, Urgency::Late, *now) <= 0.0
@@ -153,7 +159,7 @@
             let Candidate { back_end, in_flight, .. } = candidates[candidate];
             let elsewhere = near.is_some_and(|zone| back_end.zone != *zone);
             let backlog = index.backlog(&back_end.id, EngineStage::Decode, Urgency::Late, *now);
-            let backlog_millis = index.model().reading_millis(EngineStage::Decode, backlog);
+            let backlog_millis = index.model().prefill_millis(EngineStage::Decode, backlog);
             f64::from(in_flight)
                 + backlog_millis / config.backlog_per_request_milliseconds
                 + if elsewhere { config.zone_advantage } else { 0.0 }
@@ -184,7 +190,7 @@
             return Some(placed);
         }
         let placed = self.cheapest(&ranked, Urgency::InTime)?;
-        let is_late = in_time.is_some_and(|in_time| placed.reading > in_time);
+        let is_late = in_time.is_some_and(|in_time| placed.expected_time > in_time);
         if self.config.orders_by_urgency && is_late {
             return self.cheapest(&ranked, Urgency::Late);
         }
@@ -196,7 +202,7 @@
         let suffices = self.config.prefill_suffices_within(in_time)?;
         let is_prefill = |index: &usize| self.candidates[*index].back_end.stage == Some(EngineStage::Prefill);
         let prefill: Vec<usize> = ranked.iter().copied().filter(is_prefill).collect();
-        self.cheapest(&prefill, Urgency::InTime).filter(|placed| placed.reading <= suffices)
+        self.cheapest(&prefill, Urgency::InTime).filter(|placed| placed.expected_time <= suffices)
     }
 
     /// All nodes rank the engines alike, so that a part that nobody has read yet is read once.
@@ -226,8 +232,8 @@
     /// reading costs others.
     fn cost_millis(&self, placed: &Placed) -> f64 {
         match self.candidates[placed.index].back_end.stage {
-            Some(EngineStage::Prefill) => millis_of(placed.reading),
-            _ => millis_of(placed.reading) * self.config.decode_interference,
+            Some(EngineStage::Prefill) => millis_of(placed.expected_time),
+            _ => millis_of(placed.expected_time) * self.config.decode_interference,
         }
     }
 
@@ -238,16 +244,16 @@
         let model = self.index.model();
         let kept = self.kept(index);
         let taken_over = if self.config.takes_parts_over { kept_anywhere.saturating_sub(kept) } else { 0 };
-        let unread = self.prompt.tokens.saturating_sub(kept + taken_over);
+        let uncached_tokens = self.prompt.tokens.saturating_sub(kept + taken_over);
         let backlog = self.index.backlog(&back_end.id, stage, urgency, self.now);
-        let reading = model.reading_millis(stage, backlog + f64::from(unread));
+        let reading = model.prefill_millis(stage, backlog + f64::from(uncached_tokens));
         let taking_over = self.move_millis_a_token * f64::from(taken_over);
         let handing_over = match stage {
             EngineStage::Prefill => self.move_millis_a_token * f64::from(self.prompt.tokens),
             EngineStage::Decode => 0.0,
         };
-        let reading = Duration::from_secs_f64((reading + taking_over + handing_over) / 1e3);
-        Placed { index, reading, waits: backlog > 0.0, urgency, unread }
+        let expected_time = Duration::from_secs_f64((reading + taking_over + handing_over) / 1e3);
+        Placed { index, expected_time, has_backlog: backlog > 0.0, urgency, uncached_tokens }
     }
 }
 
--- a/crates/core/src/relay/prompt_index.rs
+++ b/crates/core/src/relay/prompt_index.rs
@@ -127,7 +127,7 @@
             return;
         };
         if let Some(stage) = reading.alone_at {
-            self.model.observe_reading(stage, reading.tokens, now.since(reading.began));
+            self.model.observe_prefill(stage, reading.tokens, now.since(reading.began));
         }
         self.finish(reading.engine, reading.shared_parts, reading.prompt_tokens, now);
     }
@@ -219,7 +219,7 @@
     ) -> impl Iterator<Item = CachedParts> + 'e {
         engines.filter_map(move |engine| {
             let cache = self.kept.get(&engine.into()).filter(|cache| !cache.is_empty())?;
-            Some(CachedParts { engine: engine.clone(), parts: cache.told_parts(parts_maximum) })
+            Some(CachedParts { engine: engine.clone(), parts: cache.announced_parts(parts_maximum) })
         })
     }
 
@@ -255,7 +255,7 @@
     /// The tokens of `prompt` that `engine` keeps.
     pub fn kept_tokens_of(&self, engine: &BackEndId, prompt: &Prompt) -> u32 {
         let cache = self.kept.get(&engine.into());
-        cache.map_or(0, |cache| cache.kept_tokens_of(prompt.shared_parts(), self.room()))
+        cache.map_or(0, |cache| cache.cached_tokens_of(prompt.shared_parts(), self.room()))
     }
 
     /// The engine among `others` that keeps more of the start of `prompt` than `reader` does: the one that keeps most, and
@@ -269,7 +269,7 @@
         let own = self.kept_tokens_of(reader, prompt);
         let keepers = others.filter_map(|other| {
             let cache = self.kept.get(&(&other.id).into())?;
-            let kept = cache.kept_tokens_of(prompt.shared_parts(), self.room());
+            let kept = cache.cached_tokens_of(prompt.shared_parts(), self.room());
             let used_at = cache.used_at(prompt.shared_parts(), self.room())?;
             (kept > own && other.id != *reader).then_some((kept, used_at, other))
         });
@@ -279,7 +279,7 @@
 
     fn keep(&mut self, finished: &FinishedPrefill, now: Timestamp) {
         let room = self.room();
-        self.kept.entry(finished.engine).or_default().use_prompt(&finished.shared_parts, finished.tokens, room, now);
+        self.kept.entry(finished.engine).or_default().record_prompt(&finished.shared_parts, finished.tokens, room, now);
     }
 
     fn room(&self) -> u64 {
--- a/crates/core/src/relay/quantile_estimate.rs
+++ b/crates/core/src/relay/quantile_estimate.rs
@@ -37,13 +37,13 @@
     }
 
     /// What is left of the estimate when only this share of what it has learned counts, and the prior for the rest.
-    pub fn faded(mut self, share: f64) -> Self {
+    pub fn decayed(mut self, share: f64) -> Self {
         self.logarithm = self.prior + (self.logarithm - self.prior) * share;
         self
     }
 
     /// The value and what it rests on.
-    pub fn shown(&self) -> Estimate {
+    pub fn estimate(&self) -> Estimate {
         Estimate { value: self.value(), samples: self.samples }
     }
 
--- a/crates/core/src/relay/short_reading.rs
+++ b/crates/core/src/relay/short_reading.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether the next prompt, of a request with this target, is read apart.
-    pub fn prefers_apart(&self, target: Duration, random: &mut fastrand::Rng) -> bool {
+    pub fn prefers_prefill_engine(&self, target: Duration, random: &mut fastrand::Rng) -> bool {
         let fast_millis = target.as_secs_f64() * 1e3 * FAST_SHARE;
         let prefers = self.apart.exp() <= fast_millis.max(self.there.exp());
         prefers || random.u32(..PROBE_ONE_IN) == 0
--- a/crates/core/src/relay/suspicions.rs
+++ b/crates/core/src/relay/suspicions.rs
@@ -21,12 +21,12 @@
     /// The nodes that must have reported within the window, this one included.
     pub reporters_minimum: usize,
     /// The back ends that a node tells of at a time; a node that can't reach more has lost its link.
-    pub told_maximum: usize,
+    pub reports_maximum: usize,
 }
 
 impl Default for SuspicionsConfig {
     fn default() -> Self {
-        SuspicionsConfig { window: Duration::from_millis(1_200), reporters_minimum: 2, told_maximum: 16 }
+        SuspicionsConfig { window: Duration::from_millis(1_200), reporters_minimum: 2, reports_maximum: 16 }
     }
 }
 
@@ -64,27 +64,27 @@
     }
 
     /// Notes that this node could not reach `back_end`.
-    pub fn note_unreachable(&mut self, back_end: EngineTag, now: Timestamp) {
+    pub fn record_unreachable(&mut self, back_end: EngineTag, now: Timestamp) {
         self.own.insert(back_end, now);
     }
 
     /// Notes that `back_end` answered this node.
-    pub fn note_answer(&mut self, back_end: EngineTag, now: Timestamp) {
+    pub fn record_answer(&mut self, back_end: EngineTag, now: Timestamp) {
         self.answered.insert(back_end, now);
         self.own.remove(&back_end);
     }
 
     /// What peers are to be told; nothing when this node could not reach so many that its own link is what failed.
-    pub fn told(&self, now: Timestamp) -> Vec<(EngineTag, u16)> {
+    pub fn reports(&self, now: Timestamp) -> Vec<(EngineTag, u16)> {
         let recent = self.own.iter().filter(|(_, at)| now.since(**at) < self.config.window);
         let age = |at: Timestamp| u16::try_from(now.since(at).as_millis()).unwrap_or(u16::MAX);
         let told: Vec<(EngineTag, u16)> = recent.map(|(back_end, at)| (*back_end, age(*at))).collect();
-        if told.len() > self.config.told_maximum { Vec::new() } else { told }
+        if told.len() > self.config.reports_maximum { Vec::new() } else { told }
     }
 
     /// Takes in what a peer tells.
     pub fn receive(&mut self, notice: &UnreachableNotice, now: Timestamp) {
-        for (back_end, age_millis) in notice.back_ends.iter().take(self.config.told_maximum) {
+        for (back_end, age_millis) in notice.back_ends.iter().take(self.config.reports_maximum) {
             let at = now - Duration::from_millis(u64::from(*age_millis));
             let reports = self.of_peers.entry(*back_end).or_default();
             let latest = reports.entry(notice.sender).or_insert(at);
--- a/crates/core/src/routing/configuration.rs
+++ b/crates/core/src/routing/configuration.rs
@@ -45,11 +45,11 @@
 
 impl Price {
     /// The price of an engine that stays.
-    pub const WHOLE: Price = Price(1_000);
+    pub const FULL: Price = Price(1_000);
 
-    /// The price as a share of [`Price::WHOLE`].
+    /// The price as a share of [`Price::FULL`].
     pub fn as_share(self) -> f64 {
-        f64::from(self.0) / f64::from(Price::WHOLE.0)
+        f64::from(self.0) / f64::from(Price::FULL.0)
     }
 }
 
--- a/crates/core/tests/duties_fleet.rs
+++ b/crates/core/tests/duties_fleet.rs
@@ -21,7 +21,7 @@
         maximum: 36,
         boot_time: BOOT,
         preemptible_price: Price(220),
-        zone_prices: zones.iter().map(|zone| ((*zone).into(), Price::WHOLE)).collect(),
+        zone_prices: zones.iter().map(|zone| ((*zone).into(), Price::FULL)).collect(),
     }
 }
 
--- a/crates/core/tests/relay_engine_model.rs
+++ b/crates/core/tests/relay_engine_model.rs
@@ -20,7 +20,7 @@
             _ => f64::from(random.int_in_range(98..=106_u32)?) / 100.0,
         };
         let took = Duration::from_secs_f64(f64::from(tokens) / rate * slowness / 1e3);
-        model.observe_reading(EngineStage::Prefill, tokens, took);
+        model.observe_prefill(EngineStage::Prefill, tokens, took);
     }
     Ok((rate, model.rate(EngineStage::Prefill)))
 }
@@ -44,11 +44,11 @@
 fn one_sample_moves_an_estimate_only_so_far() {
     let mut model = EngineModel::default();
     for _ in 0..200 {
-        model.observe_reading(EngineStage::Decode, 10_000, Duration::from_millis(50));
+        model.observe_prefill(EngineStage::Decode, 10_000, Duration::from_millis(50));
     }
     let before = model.rate(EngineStage::Decode);
-    model.observe_reading(EngineStage::Decode, 10_000, Duration::from_nanos(1));
-    model.observe_reading(EngineStage::Decode, 10_000, Duration::from_secs(3_600));
+    model.observe_prefill(EngineStage::Decode, 10_000, Duration::from_nanos(1));
+    model.observe_prefill(EngineStage::Decode, 10_000, Duration::from_secs(3_600));
     let after = model.rate(EngineStage::Decode);
     assert!((0.9..1.1).contains(&(after / before)), "{before} to {after}");
 }
@@ -56,7 +56,7 @@
 #[test]
 fn short_readings_show_nothing() {
     let mut model = EngineModel::default();
-    model.observe_reading(EngineStage::Prefill, 100, Duration::from_secs(1));
+    model.observe_prefill(EngineStage::Prefill, 100, Duration::from_secs(1));
     assert!(model.estimates(START).iter().all(|(_, estimate)| estimate.samples == 0));
 }
 
--- a/crates/core/tests/relay_placement.rs
+++ b/crates/core/tests/relay_placement.rs
@@ -58,7 +58,7 @@
     let candidates: Vec<Candidate<'_>> = engines.iter().map(candidate).collect();
     let index = index();
     for key in 0..50 {
-        let purpose = Purpose::Read { prompt: &prompt(key), in_time: ANY_TIME, index: &index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt(key), in_time: ANY_TIME, index: &index, now: NOW };
         let first = placed(&candidates, &purpose, 1);
         assert!(first.is_some());
         let reversed: Vec<Candidate<'_>> = candidates.iter().rev().copied().collect();
@@ -72,7 +72,7 @@
     let candidates: Vec<Candidate<'_>> = engines.iter().map(candidate).collect();
     let index = index();
     for key in 0..200 {
-        let purpose = Purpose::Read { prompt: &prompt(key), in_time: ANY_TIME, index: &index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt(key), in_time: ANY_TIME, index: &index, now: NOW };
         let before = placed(&candidates, &purpose, 1).expect("there are engines");
         let after = placed(&candidates[1..], &purpose, 1).expect("there are engines");
         assert!(before == after || before == engines[0].id.as_str());
@@ -87,7 +87,7 @@
     let reading = index.begin(&engines[1], &prompt(1), Urgency::InTime, NOW);
     index.end(reading, true, NOW);
     let place_now = |index: &PromptIndex| {
-        placed(&candidates, &Purpose::Read { prompt: &prompt(1), in_time: ANY_TIME, index, now: NOW }, 1)
+        placed(&candidates, &Purpose::Prefill { prompt: &prompt(1), in_time: ANY_TIME, index, now: NOW }, 1)
     };
     assert_eq!(place_now(&index).as_deref(), Some(engines[1].id.as_str()));
     for key in 2..20 {
@@ -102,7 +102,7 @@
     let candidates = [candidate(&prefill), candidate(&decode)];
     let mut index = index();
     let place_now = |index: &PromptIndex| {
-        placed(&candidates, &Purpose::Read { prompt: &prompt(1), in_time: A_SECOND, index, now: NOW }, 1)
+        placed(&candidates, &Purpose::Prefill { prompt: &prompt(1), in_time: A_SECOND, index, now: NOW }, 1)
     };
     assert_eq!(place_now(&index).as_deref(), Some(prefill.id.as_str()));
     for key in 2..20 {
@@ -118,7 +118,7 @@
     let candidates = [candidate(&prefill), candidate(&decode), candidate(&application)];
     let of = |purpose: &Purpose<'_>| placed(&candidates, purpose, 1);
     let index = index();
-    let read = Purpose::Read { prompt: &prompt(1), in_time: ANY_TIME, index: &index, now: NOW };
+    let read = Purpose::Prefill { prompt: &prompt(1), in_time: ANY_TIME, index: &index, now: NOW };
     assert_eq!(of(&read).as_deref(), Some(prefill.id.as_str()));
     assert_eq!(of(&Purpose::Decode { near: None, index: &index, now: NOW }).as_deref(), Some(decode.id.as_str()));
     assert_eq!(of(&Purpose::Application).as_deref(), Some(application.id.as_str()));
@@ -195,7 +195,7 @@
     let candidates = [candidate(&prefill), candidate(&decode), candidate(&other)];
     let mut index = index();
     let place_with = |index: &PromptIndex, config: &PlacementConfig| {
-        let purpose = Purpose::Read { prompt: &prompt(1), in_time: A_SECOND, index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt(1), in_time: A_SECOND, index, now: NOW };
         place(&candidates, &purpose, config, |_| false, &mut fastrand::Rng::with_seed(1)).map(|placed| placed.index)
     };
     let default = PlacementConfig::default();
@@ -240,7 +240,7 @@
     let candidates = [candidate(&engines[0])];
     let mut index = index();
     let place_now = |index: &PromptIndex| {
-        let purpose = Purpose::Read { prompt: &prompt(1), in_time: NO_TIME, index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt(1), in_time: NO_TIME, index, now: NOW };
         let random = &mut fastrand::Rng::with_seed(1);
         place(&candidates, &purpose, &PlacementConfig::default(), |_| false, random).expect("there is an engine")
     };
@@ -250,15 +250,18 @@
     }
     let left = Duration::from_secs(2);
     let idle = place_now(&index);
-    assert!(idle.reading > left && !idle.is_hopeless(left, None), "only a send there can show that it is fast again");
+    assert!(
+        idle.expected_time > left && !idle.should_refuse(left, None),
+        "only a send there can show that it is fast again"
+    );
     let reading = index.begin(&engines[0], &prompt(2), Urgency::InTime, NOW);
     let waiting = place_now(&index);
-    assert!(waiting.is_hopeless(left, None));
-    let enough = 2 * waiting.reading;
-    assert!(!waiting.is_hopeless(enough, Some(1.0)) && waiting.is_hopeless(enough, Some(2.5)));
-    assert!(!idle.is_hopeless(left, Some(2.5)), "what waits for nothing is not refused, however long late ones take");
+    assert!(waiting.should_refuse(left, None));
+    let enough = 2 * waiting.expected_time;
+    assert!(!waiting.should_refuse(enough, Some(1.0)) && waiting.should_refuse(enough, Some(2.5)));
+    assert!(!idle.should_refuse(left, Some(2.5)), "what waits for nothing is not refused, however long late ones take");
     index.end(reading, true, NOW);
-    assert!(!place_now(&index).is_hopeless(left, None));
+    assert!(!place_now(&index).should_refuse(left, None));
 }
 
 #[test]
@@ -267,7 +270,7 @@
     let candidates: Vec<Candidate<'_>> = engines.iter().map(candidate).collect();
     let mut index = index();
     let place_within = |index: &PromptIndex, in_time: Option<Duration>, config: &PlacementConfig| {
-        let purpose = Purpose::Read { prompt: &prompt(1), in_time, index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt(1), in_time, index, now: NOW };
         let random = &mut fastrand::Rng::with_seed(1);
         place(&candidates, &purpose, config, |_| false, random).expect("there are engines")
     };
@@ -294,7 +297,7 @@
     assert_eq!(config.in_time(second, 3 * second), Some(Duration::ZERO), "what has waited longer is late");
     let engines = prefill_engines(1);
     let index = index();
-    let purpose = Purpose::Read { prompt: &prompt(1), in_time: None, index: &index, now: NOW };
+    let purpose = Purpose::Prefill { prompt: &prompt(1), in_time: None, index: &index, now: NOW };
     let random = &mut fastrand::Rng::with_seed(1);
     let placed = place(&[candidate(&engines[0])], &purpose, &config, |_| false, random);
     assert_eq!(placed.expect("there is an engine").urgency, Urgency::InTime);
@@ -311,7 +314,7 @@
     let chosen = |share: f64, in_time_millis: u64| {
         let config = PlacementConfig { prefill_suffices_share: share, target_share: 1.0, ..PlacementConfig::default() };
         let in_time = Some(Duration::from_millis(in_time_millis));
-        let purpose = Purpose::Read { prompt: &prompt, in_time, index: &index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt, in_time, index: &index, now: NOW };
         let random = &mut fastrand::Rng::with_seed(1);
         place(&candidates, &purpose, &config, |_| false, random).expect("there is a candidate").index
     };
@@ -331,11 +334,11 @@
     let mut index = index();
     index.begin(&engines[0], &prompt(1), Urgency::InTime, NOW);
     for seed in 0..50 {
-        let chosen = placed(&candidates, &Purpose::ReadAside { index: &index, now: NOW }, seed);
+        let chosen = placed(&candidates, &Purpose::PrefillShort { index: &index, now: NOW }, seed);
         assert_eq!(chosen, Some(engines[1].id.to_string()));
     }
     index.begin(&engines[1], &prompt(2), Urgency::Late, NOW);
-    assert_eq!(placed(&candidates, &Purpose::ReadAside { index: &index, now: NOW }, 1), None);
+    assert_eq!(placed(&candidates, &Purpose::PrefillShort { index: &index, now: NOW }, 1), None);
 }
 
 #[test]
@@ -343,7 +346,7 @@
     let engines = prefill_engines(8);
     let candidates: Vec<Candidate<'_>> = engines.iter().map(candidate).collect();
     let index = index();
-    let chosen = |seed| placed(&candidates, &Purpose::ReadAside { index: &index, now: NOW }, seed);
+    let chosen = |seed| placed(&candidates, &Purpose::PrefillShort { index: &index, now: NOW }, seed);
     let distinct: std::collections::BTreeSet<_> = (0..200).map(chosen).collect();
     assert_eq!(distinct.len(), 8);
 }
--- a/crates/core/tests/relay_short_reading.rs
+++ b/crates/core/tests/relay_short_reading.rs
@@ -8,7 +8,7 @@
 
 fn times_apart(short_reading: &ShortPrefill) -> usize {
     let mut random = fastrand::Rng::with_seed(1);
-    (0..1_000).filter(|_| short_reading.prefers_apart(TARGET, &mut random)).count()
+    (0..1_000).filter(|_| short_reading.prefers_prefill_engine(TARGET, &mut random)).count()
 }
 
 fn after(apart_millis: u64, there_millis: u64, requests: usize) -> ShortPrefill {
--- a/crates/core/tests/relay_suspicions.rs
+++ b/crates/core/tests/relay_suspicions.rs
@@ -35,7 +35,7 @@
 #[test]
 fn this_node_counts_as_one_of_the_two() {
     let mut suspicions = Suspicions::default();
-    suspicions.note_unreachable(tag("a"), NOW);
+    suspicions.record_unreachable(tag("a"), NOW);
     assert!(!suspicions.is_suspected(tag("a"), NOW));
     suspicions.receive(&notice(1, &["a"], 0), NOW);
     assert!(suspicions.is_suspected(tag("a"), NOW));
@@ -57,7 +57,7 @@
     for sender in [1, 2] {
         suspicions.receive(&notice(sender, &["a"], 100), NOW);
     }
-    suspicions.note_answer(tag("a"), NOW);
+    suspicions.record_answer(tag("a"), NOW);
     assert!(!suspicions.is_suspected(tag("a"), NOW));
     let later = NOW + Duration::from_millis(50);
     for sender in [1, 2] {
@@ -69,13 +69,13 @@
 #[test]
 fn a_node_that_reaches_hardly_anything_tells_nothing() {
     let mut suspicions = Suspicions::default();
-    let most = SuspicionsConfig::default().told_maximum;
+    let most = SuspicionsConfig::default().reports_maximum;
     for number in 0..most {
-        suspicions.note_unreachable(tag(&format!("engine-{number}")), NOW);
+        suspicions.record_unreachable(tag(&format!("engine-{number}")), NOW);
     }
-    assert_eq!(suspicions.told(NOW).len(), most);
-    suspicions.note_unreachable(tag("one more"), NOW);
-    assert!(suspicions.told(NOW).is_empty());
+    assert_eq!(suspicions.reports(NOW).len(), most);
+    suspicions.record_unreachable(tag("one more"), NOW);
+    assert!(suspicions.reports(NOW).is_empty());
 }
 
 #[test]
@@ -93,7 +93,7 @@
         suspicions.receive(&notice(sender, &names, 0), NOW);
     }
     let suspected = names.iter().filter(|name| suspicions.is_suspected(tag(name), NOW)).count();
-    assert_eq!(suspected, SuspicionsConfig::default().told_maximum);
+    assert_eq!(suspected, SuspicionsConfig::default().reports_maximum);
 }
 
 #[test]
--- a/crates/core/tests/support/engine_world.rs
+++ b/crates/core/tests/support/engine_world.rs
@@ -203,9 +203,9 @@
         let node = caller.node;
         let reader = if caller.is_long {
             self.choose_reader(node, &caller.prompt)
-        } else if self.nodes[node].short_reading.prefers_apart(TARGET, &mut self.random) {
+        } else if self.nodes[node].short_reading.prefers_prefill_engine(TARGET, &mut self.random) {
             let now = self.now();
-            self.choose(node, |index| Purpose::ReadAside { index, now })
+            self.choose(node, |index| Purpose::PrefillShort { index, now })
         } else {
             None
         };
@@ -263,7 +263,7 @@
 
     fn choose_reader(&mut self, node: usize, prompt: &Prompt) -> Option<usize> {
         let (now, in_time) = (self.now(), self.config.in_time(TARGET, Duration::ZERO));
-        self.choose(node, |index| Purpose::Read { prompt, in_time, index, now })
+        self.choose(node, |index| Purpose::Prefill { prompt, in_time, index, now })
     }
 
     fn choose_answerer(&mut self, node: usize) -> Option<usize> {
--- a/crates/relay/src/callers/prefill_step.rs
+++ b/crates/relay/src/callers/prefill_step.rs
@@ -19,17 +19,17 @@
                 break;
             };
             if std::mem::take(&mut is_first) {
-                self.traffic.demand.record_prompt(&self.request.service, placed.unread);
+                self.traffic.demand.record_prompt(&self.request.service, placed.uncached_tokens);
             }
             let time_left = self.request.ends_at.since(self.traffic.clock.now());
             let late_stretch = (placed.urgency == Urgency::Late).then(|| self.traffic.late_stretch());
             if let Some(record) = &mut self.record {
                 record.late_stretch = late_stretch;
             }
-            if self.traffic.placement().refuses_early && placed.is_hopeless(time_left, late_stretch) {
+            if self.traffic.placement().refuses_early && placed.should_refuse(time_left, late_stretch) {
                 return PrefillPlan::Infeasible;
             }
-            self.late_prefill_timer = late_stretch.map(|_| self.traffic.time_late_prefill(placed.reading));
+            self.late_prefill_timer = late_stretch.map(|_| self.traffic.time_late_prefill(placed.expected_time));
             if back_end.stage != Some(EngineStage::Prefill) {
                 return PrefillPlan::ChosenEngine(back_end);
             }
@@ -56,12 +56,12 @@
         };
         traffic.demand.record_prompt(&self.request.service, tokens);
         let target = self.request.route.target_latency;
-        let prefers = |random: &mut fastrand::Rng| traffic.short_prefill.get().prefers_apart(target, random);
+        let prefers = |random: &mut fastrand::Rng| traffic.short_prefill.get().prefers_prefill_engine(target, random);
         if !traffic.placement().short_prompts_apart || !traffic.with_random(prefers) {
             return PrefillPlan::AnsweringEngine;
         }
         let now = traffic.clock.now();
-        let engine = traffic.peer_notices.with_index(|index| self.place(&Purpose::ReadAside { index, now }));
+        let engine = traffic.peer_notices.with_index(|index| self.place(&Purpose::PrefillShort { index, now }));
         let Some(engine) = engine else {
             return PrefillPlan::AnsweringEngine;
         };
@@ -115,10 +115,10 @@
         let in_time = traffic.placement().in_time(self.request.route.target_latency, waited);
         let (back_end, placed) = traffic
             .peer_notices
-            .with_index(|index| self.place_with_estimate(&Purpose::Read { prompt, in_time, index, now }))?;
+            .with_index(|index| self.place_with_estimate(&Purpose::Prefill { prompt, in_time, index, now }))?;
         self.request.urgency = placed.urgency;
         if let Some(record) = &mut self.record {
-            record.expected_prefill = Some(placed.reading);
+            record.expected_prefill = Some(placed.expected_time);
             record.urgency = Some(placed.urgency);
         }
         Some((back_end, placed))
--- a/crates/relay/src/peer_notices/announcements.rs
+++ b/crates/relay/src/peer_notices/announcements.rs
@@ -96,7 +96,7 @@
         loop {
             self.shared.unreachable.notified().await;
             let now = self.shared.clock.now();
-            let back_ends = self.shared.suspicions.borrow().told(now);
+            let back_ends = self.shared.suspicions.borrow().reports(now);
             let Some(sender) = self.sender().filter(|_| !back_ends.is_empty()) else {
                 continue;
             };
--- a/crates/relay/src/peer_notices/mod.rs
+++ b/crates/relay/src/peer_notices/mod.rs
@@ -174,13 +174,13 @@
     /// Records that `back_end` could not be reached and announces it to peers at once.
     pub fn record_unreachable(&self, back_end: &BackEndId) {
         let now = self.shared.clock.now();
-        self.shared.suspicions.borrow_mut().note_unreachable(back_end.into(), now);
+        self.shared.suspicions.borrow_mut().record_unreachable(back_end.into(), now);
         self.shared.unreachable.notify_one();
     }
 
     /// Records that `back_end` has answered.
     pub fn record_answer(&self, back_end: &BackEndId) {
-        self.shared.suspicions.borrow_mut().note_answer(back_end.into(), self.shared.clock.now());
+        self.shared.suspicions.borrow_mut().record_answer(back_end.into(), self.shared.clock.now());
     }
 
     /// Whether several nodes recently failed to reach `back_end`.
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -234,7 +234,7 @@
         maximum: 40,
         boot_time: Duration::from_secs(3),
         preemptible_price: Price(300),
-        zone_prices: vec![(ZoneName::new("zone-1"), Price::WHOLE)],
+        zone_prices: vec![(ZoneName::new("zone-1"), Price::FULL)],
     };
     let service = ServiceDescription {
         name: ServiceName::new("model"),
