--- a/crates/core/src/relay/engine_cache.rs
+++ b/crates/core/src/relay/engine_cache.rs
@@ -1,4 +1,4 @@
-//! What one engine is believed to keep of the prompts that it has read.
+//! An estimate of what one engine's KV cache holds of the prompts that the engine has processed.
 
 use std::collections::HashMap;
 
@@ -6,80 +6,80 @@
 use super::readings_message::AnnouncedPart;
 use crate::time::Timestamp;
 
-/// The parts that an engine keeps. Engines give up what was not used for the longest time, so a part is there until as
-/// many tokens were brought in after its last use as the cache holds.
+/// The prompt parts that an engine caches. Engines evict the least recently used part first, so a part is cached until
+/// as many tokens were added after its last use as the cache holds.
 ///
-/// Invariant: every part's `brought_before` is at most `brought`.
+/// Invariant: every part's `added_before` is at most `added`.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EngineCache {
-    /// Tokens brought in so far.
-    brought: u64,
-    parts: HashMap<u64, KeptPart>,
+    /// Tokens added to the cache so far.
+    added: u64,
+    parts: HashMap<u64, CacheEntry>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct KeptPart {
+struct CacheEntry {
     tokens: u32,
     used_at: Timestamp,
-    brought_before: u64,
+    added_before: u64,
 }
 
 impl EngineCache {
-    /// The tokens at the start of a prompt that need not be read again, with `room` tokens believed to be kept: the
-    /// shared parts from the first up to the first that is missing.
-    pub(super) fn cached_tokens_of(&self, shared_parts: &[PromptPart], room: u64) -> u32 {
-        self.kept_start(shared_parts, room).map(|(part, _)| part.tokens).sum()
+    /// The tokens at the start of a prompt that need no prefill, for a cache of `capacity` tokens: the shared parts from
+    /// the first up to the first that is missing.
+    pub(super) fn cached_tokens_of(&self, shared_parts: &[PromptPart], capacity: u64) -> u32 {
+        self.cached_start(shared_parts, capacity).map(|(part, _)| part.tokens).sum()
     }
 
-    /// When the last of the shared parts that are kept from the start was used; `None` when not even the first is kept.
-    pub(super) fn used_at(&self, shared_parts: &[PromptPart], room: u64) -> Option<Timestamp> {
-        self.kept_start(shared_parts, room).last().map(|(_, kept)| kept.used_at)
+    /// The last use of the last shared part in the cached start of a prompt; `None` when the first part isn't cached.
+    pub(super) fn used_at(&self, shared_parts: &[PromptPart], capacity: u64) -> Option<Timestamp> {
+        self.cached_start(shared_parts, capacity).last().map(|(_, entry)| entry.used_at)
     }
 
-    /// The shared parts from the first up to the first that is missing, and what is known of each.
-    fn kept_start<'p>(
+    /// The shared parts from the first up to the first that is missing, each with its cache entry.
+    fn cached_start<'p>(
         &self,
         shared_parts: &'p [PromptPart],
-        room: u64,
-    ) -> impl Iterator<Item = (&'p PromptPart, &KeptPart)> {
-        let kept = move |id: u64| self.parts.get(&id).filter(|kept| self.brought - kept.brought_before < room);
-        shared_parts.iter().map_while(move |part| Some((part, kept(part.id)?)))
+        capacity: u64,
+    ) -> impl Iterator<Item = (&'p PromptPart, &CacheEntry)> {
+        let entry = move |id: u64| self.parts.get(&id).filter(|entry| self.added - entry.added_before < capacity);
+        shared_parts.iter().map_while(move |part| Some((part, entry(part.id)?)))
     }
 
-    /// Notes that the engine has read a prompt of `tokens`, or got its KV cache: each shared part is used now, and what
-    /// it did not keep was brought in.
-    pub(super) fn record_prompt(&mut self, shared_parts: &[PromptPart], tokens: u32, room: u64, now: Timestamp) {
-        let brought = tokens.saturating_sub(self.cached_tokens_of(shared_parts, room));
-        self.brought += u64::from(brought);
-        let brought_before = self.brought;
+    /// Records that the engine has processed a prompt of `tokens`, or received its KV cache: each shared part is used
+    /// now, and the tokens that weren't cached are added.
+    pub(super) fn record_prompt(&mut self, shared_parts: &[PromptPart], tokens: u32, capacity: u64, now: Timestamp) {
+        let added = tokens.saturating_sub(self.cached_tokens_of(shared_parts, capacity));
+        self.added += u64::from(added);
+        let added_before = self.added;
         for part in shared_parts {
-            self.parts.insert(part.id, KeptPart { tokens: part.tokens, used_at: now, brought_before });
+            self.parts.insert(part.id, CacheEntry { tokens: part.tokens, used_at: now, added_before });
         }
-        let newest = self.brought;
-        self.parts.retain(|_, kept| newest - kept.brought_before < room);
+        let newest = self.added;
+        self.parts.retain(|_, entry| newest - entry.added_before < capacity);
     }
 
-    /// The parts, those used last first, so many at most.
+    /// The most recently used parts, at most `parts_maximum`, the latest first.
     pub(super) fn announced_parts(&self, parts_maximum: usize) -> Vec<AnnouncedPart> {
-        let told = self.parts.iter().map(|(id, kept)| AnnouncedPart {
-            part: PromptPart { id: *id, tokens: kept.tokens },
-            brought_since: self.brought - kept.brought_before,
+        let announced = self.parts.iter().map(|(id, entry)| AnnouncedPart {
+            part: PromptPart { id: *id, tokens: entry.tokens },
+            brought_since: self.added - entry.added_before,
         });
-        let mut parts: Vec<AnnouncedPart> = told.collect();
-        parts.sort_by_key(|told| (told.brought_since, told.part.id));
+        let mut parts: Vec<AnnouncedPart> = announced.collect();
+        parts.sort_by_key(|part| (part.brought_since, part.part.id));
         parts.truncate(parts_maximum);
         parts
     }
 
-    /// Takes in what a peer believes; parts that are known here stay as they are.
-    pub(super) fn adopt(&mut self, told: Vec<AnnouncedPart>, now: Timestamp) {
-        let oldest = told.iter().map(|told| told.brought_since).max().unwrap_or(0);
-        let missing = oldest.saturating_sub(self.brought);
-        self.brought += missing;
-        self.parts.values_mut().for_each(|kept| kept.brought_before += missing);
-        for AnnouncedPart { part, brought_since } in told {
-            let brought_before = self.brought - brought_since;
-            self.parts.entry(part.id).or_insert(KeptPart { tokens: part.tokens, used_at: now, brought_before });
+    /// Merges a peer's estimate; parts that this node knows already stay as they are.
+    pub(super) fn adopt(&mut self, announced: Vec<AnnouncedPart>, now: Timestamp) {
+        let oldest = announced.iter().map(|part| part.brought_since).max().unwrap_or(0);
+        let missing = oldest.saturating_sub(self.added);
+        self.added += missing;
+        self.parts.values_mut().for_each(|entry| entry.added_before += missing);
+        for AnnouncedPart { part, brought_since } in announced {
+            let added_before = self.added - brought_since;
+            self.parts.entry(part.id).or_insert(CacheEntry { tokens: part.tokens, used_at: now, added_before });
         }
     }
 
@@ -88,7 +88,7 @@
         self.parts.values().map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// Whether nothing is known to be kept.
+    /// Whether no part is known to be cached.
     pub(super) fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
--- a/crates/core/src/relay/engine_model.rs
+++ b/crates/core/src/relay/engine_model.rs
@@ -1,6 +1,6 @@
-//! How fast engines read prompts and move KV caches, estimated from what this node's own sends show.
+//! Estimates of how fast engines process prompts and move KV caches, taken from this node's own requests.
 //!
-//! Nothing here is configured: a prior says what is believed before anything was seen, and it fades with each sample.
+//! Nothing here is configured: estimates begin at a prior, whose influence decreases with each sample.
 
 use std::time::Duration;
 
@@ -11,26 +11,27 @@
 use crate::back_ends::EngineStage;
 use crate::time::Timestamp;
 
-/// The share of samples that lies below an estimate of a reading rate. A reading that waited for others looks slow, and
-/// many do; one that looks too fast kept more than was known, which is rare.
+/// The quantile of the samples that estimates a prefill rate. Many prefills look slow because they queued behind others;
+/// few look too fast, because the engine had cached more than this node knew.
 const RATE_QUANTILE: f64 = 0.7;
 
-/// Shorter readings show the way to the engine rather than its rate.
+/// Shorter prefills measure the network latency rather than the engine's rate.
 const SAMPLE_MINIMUM_TOKENS: u32 = 1_000;
 
-/// What is believed of prefill engines before any was seen, in tokens a millisecond.
+/// The assumed rate of prefill engines before any sample, in tokens a millisecond.
 const PREFILL_RATE_PRIOR: f64 = 100.0;
 
-/// What is believed of decode engines before any was seen: they read between the tokens of others, at half the pace.
+/// The assumed prefill rate of decode engines before any sample, in tokens a millisecond: half that of prefill engines,
+/// since decode engines interleave prefill with the tokens of other requests.
 const DECODE_RATE_PRIOR: f64 = 50.0;
 
-/// What prefill engines have read that had nothing else to read. Totals of several nodes can be added up, which estimates
-/// can't.
+/// Totals of the prefills that ran on otherwise idle prefill engines. Totals of several nodes can be added up, which
+/// estimates can't.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct PrefillTotals {
-    /// The tokens that were read.
+    /// The tokens processed.
     pub tokens: u64,
-    /// The time that this took, in microseconds.
+    /// The time taken, in microseconds.
     pub micros: u64,
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-/// What is believed of the engines of the services that this node serves.
+/// Rate estimates for the engines of the services that this node serves.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineModel {
     prefill: QuantileEstimate,
@@ -62,7 +63,7 @@
 }
 
 impl EngineModel {
-    /// Notes that an engine that had nothing else to read took `took` for `tokens`.
+    /// Records that an otherwise idle engine took `took` for a prefill of `tokens`.
     pub fn observe_prefill(&mut self, stage: EngineStage, tokens: u32, took: Duration) {
         if tokens < SAMPLE_MINIMUM_TOKENS {
             return;
@@ -77,29 +78,30 @@
         }
     }
 
-    /// Notes that an engine began an answer `took` after it was sent there, for which no long prompt was moved or read.
+    /// Records that an engine began an answer `took` after the request was sent, with no long prompt moved or prefilled
+    /// for it.
     pub fn observe_wait(&mut self, took: Duration, now: Timestamp) {
         self.moves.observe_wait(took, now);
     }
 
-    /// Notes that an engine took `took` to get a KV cache of `tokens` and to begin its answer.
+    /// Records that an engine took `took` to receive a KV cache of `tokens` and to begin its answer.
     pub fn observe_move(&mut self, tokens: u32, took: Duration, now: Timestamp) {
         if tokens >= SAMPLE_MINIMUM_TOKENS {
             self.moves.observe(tokens, took, now);
         }
     }
 
-    /// What prefill engines have read that had nothing else to read.
+    /// Totals of the prefills that ran on otherwise idle prefill engines.
     pub fn isolated_prefills(&self) -> PrefillTotals {
         self.isolated_prefills
     }
 
-    /// The milliseconds in which an engine of `stage` reads `tokens`.
+    /// The milliseconds that an engine of `stage` takes to prefill `tokens`.
     pub fn prefill_millis(&self, stage: EngineStage, tokens: f64) -> f64 {
         tokens / self.rate(stage)
     }
 
-    /// The tokens that an engine of `stage` reads in a millisecond.
+    /// The tokens that an engine of `stage` prefills in a millisecond.
     pub fn rate(&self, stage: EngineStage) -> f64 {
         match stage {
             EngineStage::Prefill => self.prefill.value(),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The milliseconds that the move of a KV cache of `tokens` takes.
+    /// The milliseconds that a transfer of a KV cache of `tokens` takes.
     pub fn move_millis(&self, tokens: f64, now: Timestamp) -> f64 {
         self.moves.millis(tokens, now)
     }
--- a/crates/core/src/relay/placement.rs
+++ b/crates/core/src/relay/placement.rs
@@ -1,4 +1,4 @@
-//! Where a request is sent: a choice among the back ends of its service, made alike by every node.
+//! Selects the back end of its service that a request is sent to. All nodes use the same rules.
 
 use std::time::Duration;
 
@@ -11,47 +11,47 @@
 use crate::time::Timestamp;
 use crate::world::ZoneName;
 
-/// A back end as the node sees it at the moment of the choice.
+/// A back end as the node sees it when it places a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// The back end.
     pub back_end: &'a BackEnd,
-    /// Whether the directory lets it be used.
+    /// Whether the directory allows its use.
     pub usability: Usability,
-    /// Whether its answers lately let it be used.
+    /// Whether its recent answers allow its use.
     pub healthy: bool,
     /// Whether the node may open or reuse one more connection to it.
     pub connectable: bool,
-    /// This node's requests that are under way there.
+    /// This node's requests in flight to it.
     pub in_flight: u32,
 }
 
-/// What the request is sent for.
+/// The purpose of sending a request.
 #[derive(Clone, Copy, Debug)]
 pub enum Purpose<'a> {
-    /// To be answered by a plain application.
+    /// An answer from a plain application.
     Application,
-    /// To have a long prompt read, by a prefill engine or by the engine that answers it.
+    /// Prefill of a long prompt, by a prefill engine or by the decode engine that answers it.
     Prefill {
         /// The prompt.
         prompt: &'a Prompt,
-        /// The time within which it has to be read to be in time; `None`: it is never late.
+        /// The time within which the prefill has to end to be in time; `None`: it is never late.
         in_time: Option<Duration>,
         /// What is known of the reading of prompts.
         index: &'a PromptIndex,
         /// The time now.
         now: Timestamp,
     },
-    /// To have a short prompt read by a prefill engine that has nothing else to read.
+    /// Prefill of a short prompt by an idle prefill engine.
     PrefillShort {
         /// What is known of the reading of prompts.
         index: &'a PromptIndex,
         /// The time now.
         now: Timestamp,
     },
-    /// To be answered by an engine.
+    /// An answer from a decode engine.
     Decode {
-        /// The zone of the engine that read the prompt, if another did.
+        /// The zone of the engine that processed the prompt, if that was another one.
         near: Option<&'a ZoneName>,
         /// What is known of the reading of prompts.
         index: &'a PromptIndex,
@@ -61,7 +61,7 @@
 }
 
 impl Purpose<'_> {
-    fn takes(&self, back_end: &BackEnd, config: &PlacementConfig) -> bool {
+    fn accepts(&self, back_end: &BackEnd, config: &PlacementConfig) -> bool {
         match self {
             Purpose::Application => back_end.stage.is_none(),
             Purpose::Prefill { .. } if config.decode_engines_read => back_end.stage.is_some(),
@@ -71,36 +71,36 @@
     }
 }
 
-/// The candidate that a request is sent to.
+/// The candidate selected for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Placed {
     /// Its index among the candidates.
     pub index: usize,
-    /// The time until a prompt is expected to be read there and ready for its answer; zero where nothing is read.
+    /// The expected time until the prefill there has ended and the prompt is ready for its answer; zero without a prefill.
     pub expected_time: Duration,
-    /// Whether the prompt waits for others there.
+    /// Whether the prompt would queue behind others there.
     pub has_backlog: bool,
-    /// Whether it is expected to be in time.
+    /// Whether the request is expected to be in time.
     pub urgency: Urgency,
-    /// The tokens of the prompt that have to be read there; 0 where nothing is read.
+    /// The tokens of the prompt that need prefill there; 0 without a prefill.
     pub uncached_tokens: u32,
 }
 
 impl Placed {
-    /// Whether a request that must end within `left` is better refused than sent. Late prompts take `late_stretch` times
-    /// what is expected of them.
+    /// Whether to refuse a request that must end within `left` instead of sending it. Late prompts take `late_stretch`
+    /// times as long as expected.
     ///
-    /// Only what waits for others is refused: were an engine with nothing to do taken for too slow, nothing would be sent
-    /// there any more that could show the contrary.
+    /// Only requests that would queue are refused: if requests to an idle engine were refused because its estimate is too
+    /// slow, no request could correct the estimate.
     pub fn should_refuse(&self, left: Duration, late_stretch: Option<f64>) -> bool {
         self.has_backlog && self.expected_time.mul_f64(late_stretch.unwrap_or(1.0)) > left
     }
 }
 
-/// The candidate that the request is sent to; `None` when none may be used.
+/// Selects the candidate that the request is sent to; `None` when none may be used.
 ///
-/// Usable and healthy back ends come first, then usable ones that fail (a request there is better than none), then
-/// those that left a moment ago. `avoid` tells which candidates the request was already sent to.
+/// Usable and healthy back ends come first, then usable but failing ones (a request there is better than none), then
+/// those that began to drain recently. `avoid` is true for candidates that the request was already sent to.
 pub fn place(
     candidates: &[Candidate<'_>],
     purpose: &Purpose<'_>,
@@ -108,23 +108,24 @@
     avoid: impl Fn(&BackEnd) -> bool,
     random: &mut fastrand::Rng,
 ) -> Option<Placed> {
-    let fitting = || {
-        let fits = |candidate: &Candidate<'_>| {
-            purpose.takes(candidate.back_end, config) && candidate.connectable && !avoid(candidate.back_end)
+    let eligible = || {
+        let is_eligible = |candidate: &Candidate<'_>| {
+            purpose.accepts(candidate.back_end, config) && candidate.connectable && !avoid(candidate.back_end)
         };
-        (0..candidates.len()).filter(move |index| fits(&candidates[*index]))
+        (0..candidates.len()).filter(move |index| is_eligible(&candidates[*index]))
     };
     let usable = |index: &usize| candidates[*index].usability == Usability::Usable;
-    let healthy: Vec<usize> = fitting().filter(usable).filter(|index| candidates[*index].healthy).collect();
+    let healthy: Vec<usize> = eligible().filter(usable).filter(|index| candidates[*index].healthy).collect();
     if !healthy.is_empty() {
         return choose(candidates, &healthy, purpose, config, random);
     }
-    let failing: Vec<usize> = fitting().filter(usable).collect();
+    let failing: Vec<usize> = eligible().filter(usable).collect();
     if !failing.is_empty() {
         return choose(candidates, &failing, purpose, config, random);
     }
-    let leaving: Vec<usize> = fitting().filter(|index| candidates[*index].usability == Usability::LastResort).collect();
-    choose(candidates, &leaving, purpose, config, random)
+    let draining: Vec<usize> =
+        eligible().filter(|index| candidates[*index].usability == Usability::LastResort).collect();
+    choose(candidates, &draining, purpose, config, random)
 }
 
 fn choose(
@@ -134,7 +135,7 @@
     config: &PlacementConfig,
     random: &mut fastrand::Rng,
 ) -> Option<Placed> {
-    let at_once = |index| Placed {
+    let without_prefill = |index| Placed {
         index,
         expected_time: Duration::ZERO,
         has_backlog: false,
@@ -143,9 +144,9 @@
     };
     match purpose {
         Purpose::Prefill { prompt, in_time, index, now } => {
-            let move_millis_a_token = index.model().move_millis(1.0, *now);
-            let readers = Readers { candidates, prompt, index, config, move_millis_a_token, now: *now };
-            readers.choose(indexes, *in_time, random)
+            let move_millis_per_token = index.model().move_millis(1.0, *now);
+            let placement = PrefillPlacement { candidates, prompt, index, config, move_millis_per_token, now: *now };
+            placement.choose(indexes, *in_time, random)
         }
         Purpose::PrefillShort { index, now } => {
             let is_idle = |candidate: &usize| {
@@ -153,40 +154,41 @@
                 index.backlog(engine, EngineStage::Prefill, Urgency::Late, *now) <= 0.0
             };
             let idle: Vec<usize> = indexes.iter().copied().filter(is_idle).collect();
-            least(&idle, random, |candidate| f64::from(candidates[candidate].in_flight)).map(at_once)
+            least(&idle, random, |candidate| f64::from(candidates[candidate].in_flight)).map(without_prefill)
         }
         Purpose::Decode { near, index, now } => least(indexes, random, |candidate| {
             let Candidate { back_end, in_flight, .. } = candidates[candidate];
-            let elsewhere = near.is_some_and(|zone| back_end.zone != *zone);
+            let is_other_zone = near.is_some_and(|zone| back_end.zone != *zone);
             let backlog = index.backlog(&back_end.id, EngineStage::Decode, Urgency::Late, *now);
             let backlog_millis = index.model().prefill_millis(EngineStage::Decode, backlog);
             f64::from(in_flight)
                 + backlog_millis / config.backlog_per_request_milliseconds
-                + if elsewhere { config.zone_advantage } else { 0.0 }
+                + if is_other_zone { config.zone_advantage } else { 0.0 }
         })
-        .map(at_once),
+        .map(without_prefill),
         Purpose::Application => {
-            least(indexes, random, |candidate| f64::from(candidates[candidate].in_flight)).map(at_once)
+            least(indexes, random, |candidate| f64::from(candidates[candidate].in_flight)).map(without_prefill)
         }
     }
 }
 
-/// The choice of the engine that reads a prompt.
-struct Readers<'a> {
+/// Selects the engine that processes a prompt.
+struct PrefillPlacement<'a> {
     candidates: &'a [Candidate<'a>],
     prompt: &'a Prompt,
     index: &'a PromptIndex,
     config: &'a PlacementConfig,
-    /// What is believed of moves, the same for all candidates.
-    move_millis_a_token: f64,
+    /// The estimated time of a KV cache transfer per token, the same for all candidates.
+    move_millis_per_token: f64,
     now: Timestamp,
 }
 
-impl Readers<'_> {
-    /// One that has the prompt read in time, or, when none can, the one that has it read first behind those that can be.
+impl PrefillPlacement<'_> {
+    /// The cheapest candidate if it is in time. If it is late, the cheapest one for a prompt that queues behind those that
+    /// can be in time.
     fn choose(&self, indexes: &[usize], in_time: Option<Duration>, random: &mut fastrand::Rng) -> Option<Placed> {
         let ranked = self.ranked(indexes, random);
-        if let Some(placed) = self.by_prefill(&ranked, in_time) {
+        if let Some(placed) = self.on_prefill_engine(&ranked, in_time) {
             return Some(placed);
         }
         let placed = self.cheapest(&ranked, Urgency::InTime)?;
@@ -197,30 +199,30 @@
         Some(placed)
     }
 
-    /// The prefill engine that reads the prompt early enough for decode engines to be left out.
-    fn by_prefill(&self, ranked: &[usize], in_time: Option<Duration>) -> Option<Placed> {
-        let suffices = self.config.prefill_suffices_within(in_time)?;
+    /// The prefill engine that processes the prompt early enough to leave out decode engines.
+    fn on_prefill_engine(&self, ranked: &[usize], in_time: Option<Duration>) -> Option<Placed> {
+        let sufficient_time = self.config.prefill_suffices_within(in_time)?;
         let is_prefill = |index: &usize| self.candidates[*index].back_end.stage == Some(EngineStage::Prefill);
-        let prefill: Vec<usize> = ranked.iter().copied().filter(is_prefill).collect();
-        self.cheapest(&prefill, Urgency::InTime).filter(|placed| placed.expected_time <= suffices)
+        let prefill_engines: Vec<usize> = ranked.iter().copied().filter(is_prefill).collect();
+        self.cheapest(&prefill_engines, Urgency::InTime).filter(|placed| placed.expected_time <= sufficient_time)
     }
 
-    /// All nodes rank the engines alike, so that a part that nobody has read yet is read once.
+    /// Ranks the engines in the same order on all nodes, so that a part that no engine has cached yet is processed once.
     fn ranked(&self, indexes: &[usize], random: &mut fastrand::Rng) -> Vec<usize> {
         let address = |index: &usize| self.candidates[*index].back_end.address;
         let key = self.prompt.deepest_shared_part().map_or_else(|| random.u64(..), |part| part.id);
         rank_by_address(&key.to_be_bytes(), indexes.iter().copied(), address)
     }
 
-    /// The candidate with the least cost for a prompt of `urgency`, of equal ones the first in rank.
+    /// The candidate with the least cost for a prompt of `urgency`; of equal ones, the first in rank.
     fn cheapest(&self, ranked: &[usize], urgency: Urgency) -> Option<Placed> {
-        let kept_anywhere = ranked.iter().map(|index| self.kept(*index)).max().unwrap_or(0);
-        let expected = ranked.iter().map(|index| self.expected(*index, kept_anywhere, urgency));
+        let cached_anywhere = ranked.iter().map(|index| self.cached(*index)).max().unwrap_or(0);
+        let expected = ranked.iter().map(|index| self.expected(*index, cached_anywhere, urgency));
         expected.min_by_key(|placed| (self.cost_millis(placed) * 1e3) as u64)
     }
 
-    /// The tokens of the prompt that need not be read, as far as that counts.
-    fn kept(&self, index: usize) -> u32 {
+    /// The tokens of the prompt that the engine has cached; 0 when affinity is switched off.
+    fn cached(&self, index: usize) -> u32 {
         if self.config.affinity {
             self.index.kept_tokens_of(&self.candidates[index].back_end.id, self.prompt)
         } else {
@@ -228,40 +230,40 @@
         }
     }
 
-    /// What it costs, in milliseconds: the time until the prompt is ready for its answer, and what a decode engine's
-    /// reading costs others.
+    /// The cost in milliseconds: the time until the prompt is ready for its answer, weighted on decode engines for the
+    /// delay to other answers.
     fn cost_millis(&self, placed: &Placed) -> f64 {
         match self.candidates[placed.index].back_end.stage {
-            Some(EngineStage::Prefill) => millis_of(placed.expected_time),
-            _ => millis_of(placed.expected_time) * self.config.decode_interference,
+            Some(EngineStage::Prefill) => millis(placed.expected_time),
+            _ => millis(placed.expected_time) * self.config.decode_interference,
         }
     }
 
-    /// When the prompt would be read and its KV cache be where it is answered.
-    fn expected(&self, index: usize, kept_anywhere: u32, urgency: Urgency) -> Placed {
+    /// The expected time until the prefill has ended and the KV cache is at the decode engine.
+    fn expected(&self, index: usize, cached_anywhere: u32, urgency: Urgency) -> Placed {
         let back_end = self.candidates[index].back_end;
         let stage = back_end.stage.unwrap_or(EngineStage::Decode);
         let model = self.index.model();
-        let kept = self.kept(index);
-        let taken_over = if self.config.takes_parts_over { kept_anywhere.saturating_sub(kept) } else { 0 };
-        let uncached_tokens = self.prompt.tokens.saturating_sub(kept + taken_over);
+        let cached = self.cached(index);
+        let fetched = if self.config.takes_parts_over { cached_anywhere.saturating_sub(cached) } else { 0 };
+        let uncached_tokens = self.prompt.tokens.saturating_sub(cached + fetched);
         let backlog = self.index.backlog(&back_end.id, stage, urgency, self.now);
-        let reading = model.prefill_millis(stage, backlog + f64::from(uncached_tokens));
-        let taking_over = self.move_millis_a_token * f64::from(taken_over);
-        let handing_over = match stage {
-            EngineStage::Prefill => self.move_millis_a_token * f64::from(self.prompt.tokens),
+        let prefill_millis = model.prefill_millis(stage, backlog + f64::from(uncached_tokens));
+        let fetch_millis = self.move_millis_per_token * f64::from(fetched);
+        let handover_millis = match stage {
+            EngineStage::Prefill => self.move_millis_per_token * f64::from(self.prompt.tokens),
             EngineStage::Decode => 0.0,
         };
-        let expected_time = Duration::from_secs_f64((reading + taking_over + handing_over) / 1e3);
+        let expected_time = Duration::from_secs_f64((prefill_millis + fetch_millis + handover_millis) / 1e3);
         Placed { index, expected_time, has_backlog: backlog > 0.0, urgency, uncached_tokens }
     }
 }
 
-fn millis_of(duration: Duration) -> f64 {
+fn millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1e3
 }
 
-/// The index with the least cost; ties are broken at random, so that nodes with equal views don't all choose alike.
+/// The index with the least cost. Ties are broken at random, so that nodes with equal views choose different candidates.
 fn least(indexes: &[usize], random: &mut fastrand::Rng, cost: impl Fn(usize) -> f64) -> Option<usize> {
     let costs: Vec<(usize, f64)> = indexes.iter().map(|index| (*index, cost(*index))).collect();
     let minimum = costs.iter().map(|(_, cost)| *cost).min_by(f64::total_cmp)?;
--- a/crates/core/src/relay/placement_config.rs
+++ b/crates/core/src/relay/placement_config.rs
@@ -1,47 +1,47 @@
-//! What placement weighs, as operators set it: each mechanism can be switched off to see what it is worth.
+//! The operators' placement settings. Each mechanism can be switched off to measure its effect.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// What placement weighs. What a settings file leaves out has its default.
+/// The placement settings. A setting that the settings file omits has its default.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementConfig {
-    /// Whether what engines keep counts: each shared part that an engine keeps, with all before it, need not be read again.
+    /// Whether cached parts count: a shared part that an engine has cached, with all parts before it, needs no prefill.
     pub affinity: bool,
-    /// Whether an engine takes parts over from another one that keeps them instead of reading them.
+    /// Whether an engine fetches cached parts from another engine instead of computing them.
     pub takes_parts_over: bool,
-    /// Whether decode engines are candidates for reading long prompts.
+    /// Whether decode engines are candidates for the prefill of long prompts.
     pub decode_engines_read: bool,
-    /// The share of its target within which a prompt must be expected to be read by a prefill engine, for decode engines
-    /// to be left out: reading there holds up all answers that run there. 0: they are never left out.
+    /// Decode engines are left out if a prefill engine is expected to process the prompt within this share of its target:
+    /// prefill on a decode engine delays all answers that run there. 0: they are never left out.
     pub prefill_suffices_share: f64,
-    /// Whether short prompts are read by prefill engines that have nothing else to read, instead of between the answers of
-    /// the decode engine that answers them.
+    /// Whether short prompts are processed by idle prefill engines instead of by the decode engine that answers them,
+    /// interleaved with its other answers.
     pub short_prompts_apart: bool,
-    /// How much more a millisecond of reading costs on a decode engine: it holds up the answers that run there.
+    /// The cost factor of a millisecond of prefill on a decode engine, where it delays the answers that run there.
     pub decode_interference: f64,
-    /// Requests that an engine in another zone must have fewer to be preferred to one in the prompt's zone: a KV cache
-    /// takes twice as long between zones.
+    /// How many fewer requests an engine in another zone must have to be preferred to one in the prompt's zone: a KV cache
+    /// transfer takes twice as long between zones.
     pub zone_advantage: f64,
-    /// Whether engines are told who goes first: urgent routes before others, and requests that can be in time before those
-    /// that are late.
+    /// Whether engines receive the order of requests: urgent routes before others, and requests that can be in time before
+    /// those that are late.
     pub orders_by_urgency: bool,
-    /// Whether a request that no engine can begin to answer before its end is refused at once.
+    /// Whether a request that no engine can begin to answer before its deadline is refused at once.
     pub refuses_early: bool,
-    /// The share of a target within which a prompt must be expected to be read, for the request to count as in time. More
-    /// than 1: what is expected is not exact, and one that is put behind others is late for sure.
+    /// The share of the target within which the prefill must be expected to end for the request to count as in time. More
+    /// than 1, because the expectation is inexact and a request that queues behind the others is certainly late.
     pub target_share: f64,
-    /// The time that an engine has still to read that counts like a request under way there, in milliseconds: short
-    /// prompts wait behind long ones.
+    /// The prefill backlog of an engine, in milliseconds, that counts as one request in flight there: short prompts queue
+    /// behind long ones.
     pub backlog_per_request_milliseconds: f64,
 }
 
-/// A target's share that is divided by is no smaller.
+/// The lower bound of `target_share` where it is a divisor.
 const TARGET_SHARE_MINIMUM: f64 = 0.01;
 
-/// a placement value is out of its range: {0}
+/// a placement setting is out of range: {0}
 #[derive(Clone, Debug, displaydoc::Display, PartialEq, Eq, thiserror::Error)]
 pub struct PlacementConfigError(pub &'static str);
 
@@ -64,25 +64,25 @@
 }
 
 impl PlacementConfig {
-    /// The time within which a prompt must be read to be in time, for a request with this `target` that has
-    /// `waited` so long; `None` for one without a target, which is never late.
+    /// The time within which the prefill must end to be in time, for a request with this `target` that has already
+    /// `waited`; `None` for a request without a target, which is never late.
     pub fn in_time(&self, target: Duration, waited: Duration) -> Option<Duration> {
         (!target.is_zero()).then(|| target.mul_f64(self.target_share).saturating_sub(waited))
     }
 
-    /// The time within which a prefill engine must be expected to read a prompt that has to be read `in_time`, for decode
-    /// engines to be left out; `None` where they are never left out.
+    /// Decode engines are left out if a prefill engine is expected to process the prompt within this time, given the time
+    /// `in_time` within which the prefill must end; `None` where they are never left out.
     pub fn prefill_suffices_within(&self, in_time: Option<Duration>) -> Option<Duration> {
         let share = self.prefill_suffices_share / self.target_share.max(TARGET_SHARE_MINIMUM);
         in_time.filter(|_| share > 0.0).map(|in_time| in_time.mul_f64(share))
     }
 
-    /// Checks that each value can be reckoned with.
+    /// Checks that each value is in its range.
     ///
     /// # Errors
-    /// Names the first value that can't.
+    /// Names the first value that is out of range.
     pub fn validate(&self) -> Result<(), PlacementConfigError> {
-        let within = |value: f64, least: f64| value.is_finite() && (least..=1e3).contains(&value);
+        let within = |value: f64, minimum: f64| value.is_finite() && (minimum..=1e3).contains(&value);
         if !within(self.decode_interference, 0.1) {
             return Err(PlacementConfigError("decode_interference: 0.1 to 1000"));
         }
--- a/crates/core/src/relay/quantile_estimate.rs
+++ b/crates/core/src/relay/quantile_estimate.rs
@@ -1,24 +1,24 @@
-//! A quantile of a stream of positive samples, held as one number.
+//! A streaming estimate of a quantile of positive samples, stored as one number.
 
-/// How far the first sample moves an estimate, as a factor's logarithm: the prior may be wrong by ten times.
+/// The step of the first sample, in natural logarithms: the prior may be wrong by a factor of ten.
 const FIRST_STEP: f64 = 0.7;
 
-/// How far a sample moves an estimate that has seen many: engines change slowly.
+/// The smallest step, reached after many samples: engines change slowly.
 const LAST_STEP: f64 = 0.04;
 
-/// An estimate as metrics and logs show it.
+/// An estimate as exported to metrics and logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The value.
     pub value: f64,
-    /// The samples that it rests on; 0: the prior.
+    /// The number of samples behind it; 0: the prior.
     pub samples: u32,
 }
 
-/// A quantile of a stream of positive samples, which each sample moves a little.
+/// A quantile of a stream of positive samples. Each sample moves it by one step.
 #[derive(Clone, Copy, Debug)]
 pub struct QuantileEstimate {
-    /// The logarithms of the prior and of the value.
+    /// The logarithm of the prior; `logarithm` is that of the value.
     prior: f64,
     logarithm: f64,
     quantile: f64,
@@ -26,7 +26,7 @@
 }
 
 impl QuantileEstimate {
-    /// An estimate for which nothing was seen yet.
+    /// An estimate without samples.
     pub fn new(prior: f64, quantile: f64) -> Self {
         QuantileEstimate { prior: prior.ln(), logarithm: prior.ln(), quantile, samples: 0 }
     }
@@ -36,18 +36,18 @@
         self.logarithm.exp()
     }
 
-    /// What is left of the estimate when only this share of what it has learned counts, and the prior for the rest.
+    /// The estimate moved towards the prior, so that only this share of its distance from the prior remains.
     pub fn decayed(mut self, share: f64) -> Self {
         self.logarithm = self.prior + (self.logarithm - self.prior) * share;
         self
     }
 
-    /// The value and what it rests on.
+    /// The value and its number of samples.
     pub fn estimate(&self) -> Estimate {
         Estimate { value: self.value(), samples: self.samples }
     }
 
-    /// Takes a sample in. However far off it is, it moves the estimate by one step at most.
+    /// Records a sample. An outlier moves the estimate by one step at most.
     pub fn observe(&mut self, sample: f64) {
         if !sample.is_finite() || sample <= 0.0 {
             return;
--- a/crates/core/src/relay/telling_pace.rs
+++ b/crates/core/src/relay/telling_pace.rs
@@ -1,17 +1,17 @@
-//! How often peers may be told of readings: at once while that costs little, else as seldom as a number of bytes a second
-//! allows.
+//! Limits how often prefills are announced to peers: immediately while the traffic is low, otherwise at the rate that a
+//! limit in bytes per second allows.
 
 use std::time::Duration;
 
 use crate::limits::TokenBucket;
 use crate::time::Timestamp;
 
-/// Limits of a [`AnnouncementPace`].
+/// Limits of an [`AnnouncementPace`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnnouncementPaceConfig {
-    /// Bytes a second, over all receivers.
+    /// Bytes per second, over all receivers.
     pub bytes_per_second: f64,
-    /// The time whose bytes may be spent at once after a quiet while.
+    /// The burst after an idle period, as the time whose bytes may be spent at once.
     pub burst: Duration,
 }
 
@@ -21,16 +21,16 @@
     }
 }
 
-/// A bucket of bytes that goes into debt: what was sent is taken out, and nothing is sent while it is below zero.
+/// A token bucket of bytes that may become negative: sent bytes are taken out, and nothing is sent while it is below zero.
 ///
-/// Invariant: in any span of time, at most its bytes, the burst and one message to every receiver are sent.
+/// Invariant: the bytes sent in any time span are at most those of the rate, the burst and one message to every receiver.
 #[derive(Clone, Copy, Debug)]
 pub struct AnnouncementPace {
     bytes: TokenBucket,
 }
 
 impl AnnouncementPace {
-    /// A pace of which nothing is spent.
+    /// An unspent pace.
     pub fn new(config: AnnouncementPaceConfig, now: Timestamp) -> Self {
         let mut bytes = TokenBucket::new(config.burst, now);
         bytes.set_rate(config.bytes_per_second, now);
@@ -38,13 +38,13 @@
         AnnouncementPace { bytes }
     }
 
-    /// The time until something may be sent; zero: now.
+    /// The time until the next message may be sent; zero: now.
     pub fn wait(&mut self, now: Timestamp) -> Duration {
         self.bytes.take(0.0, now);
         self.bytes.wait_for(0.0).unwrap_or_default()
     }
 
-    /// Takes out what was sent to all receivers.
+    /// Takes out the bytes sent to all receivers.
     pub fn spend(&mut self, bytes: usize, now: Timestamp) {
         self.bytes.take(bytes as f64, now);
     }
--- a/crates/core/src/relay/urgency.rs
+++ b/crates/core/src/relay/urgency.rs
@@ -1,9 +1,9 @@
-//! Whether a request can still be in time, which decides who goes first.
+//! Whether a request can still be in time, which decides the order of requests at engines.
 
 /// Whether a request's first token is expected within its target.
 ///
-/// Engines let the more urgent in first. A prompt that would be late anyway waits behind those that can be in time: under
-/// overload, all would be late otherwise.
+/// Engines admit the more urgent requests first. A prompt that would be late anyway waits behind those that can be in
+/// time: otherwise, all would be late under overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// It can be in time.
--- a/crates/core/src/routing/configuration.rs
+++ b/crates/core/src/routing/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that the relay goes by, as one value with a version.
+//! The traffic configuration of the relay, as one versioned value.
 
 use std::time::Duration;
 
@@ -16,35 +16,35 @@
 #[serde(transparent)]
 pub struct ConfigurationNumber(pub u64);
 
-/// What callers may send, and how long they may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// The largest head of a request, in bytes.
     pub head_maximum_bytes: u64,
     /// The largest body of a request, in bytes.
     pub body_maximum_bytes: u64,
-    /// The longest that a head may take to arrive.
+    /// The maximum time for a head to arrive.
     pub head_time_limit: Duration,
-    /// How long a connection may rest between two requests.
+    /// How long a connection may be idle between two requests.
     pub idle_time_limit: Duration,
 }
 
-/// What the engines of a service have in common.
+/// Properties that all engines of a service share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct EngineTraits {
-    /// The requests that an engine runs at once.
+    /// The number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// The tokens that an engine's KV cache holds.
+    /// The capacity of an engine's KV cache, in tokens.
     pub cache_tokens: u64,
 }
 
-/// What an engine costs for a time, in thousandths of what one costs that stays, in a zone without a price of its own.
+/// The price of an engine per unit of time, in thousandths of the on-demand price in a zone without its own price.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Price(pub u32);
 
 impl Price {
-    /// The price of an engine that stays.
+    /// The price of an on-demand engine.
     pub const FULL: Price = Price(1_000);
 
     /// The price as a share of [`Price::FULL`].
@@ -53,18 +53,18 @@
     }
 }
 
-/// Within which limits the number of a service's engines may be ordered, and what they cost.
+/// Limits on the number of a service's engines that may be ordered, and their prices.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct FleetLimits {
-    /// The fewest engines in a zone, of both kinds together.
+    /// The minimum number of engines in a zone, on-demand and preemptible together.
     pub minimum: u32,
-    /// The most engines in a zone, of both kinds together.
+    /// The maximum number of engines in a zone, on-demand and preemptible together.
     pub maximum: u32,
-    /// The time until an engine serves that was ordered.
+    /// The time from an order until the engine serves.
     pub boot_time: Duration,
-    /// The price of an engine that may be taken away, in a zone without a price of its own.
+    /// The price of a preemptible engine in a zone without its own price.
     pub preemptible_price: Price,
-    /// The price of an engine that stays, by zone: the zones in which engines may be ordered.
+    /// The price of an on-demand engine by zone; engines may be ordered in these zones only.
     pub zone_prices: Vec<(ZoneName, Price)>,
 }
 
@@ -82,24 +82,24 @@
     pub name: ServiceName,
     /// The connections that one back end accepts from all callers together.
     pub connections_maximum: u32,
-    /// What its engines have in common; `None` when its back ends are plain applications.
+    /// Properties of its engines; `None` when its back ends are plain applications.
     pub engines: Option<EngineTraits>,
-    /// Within which limits the number of its engines may be ordered; `None`: not at all.
+    /// Limits on the number of its engines that may be ordered; `None`: none may be ordered.
     pub fleet: Option<FleetLimits>,
 }
 
-/// Everything that the operator may change about the traffic.
+/// All traffic settings that the operator may change.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct TrafficConfiguration {
-    /// The version; a node adopts higher ones only.
+    /// The version; a node adopts only higher versions.
     pub version: ConfigurationNumber,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: Vec<ServiceDescription>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// Who may ask; `None`: whoever wants to, without a key.
+    /// The tenants that may send requests; `None`: any caller may, without a key.
     pub tenants: Option<Vec<TenantAccess>>,
 }
 
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,5 +1,4 @@
-//! Which requests the system takes, and to which services they go: the part of the configuration that the relay of
-//! opaque requests goes by.
+//! The traffic configuration of the relay: which requests are accepted, and which services they are routed to.
 
 mod configuration;
 mod route;
--- a/crates/core/src/routing/route.rs
+++ b/crates/core/src/routing/route.rs
@@ -1,4 +1,4 @@
-//! A route: what holds for the requests of one host below one path prefix.
+//! A route: the settings for the requests of one host below one path prefix.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use crate::world::{RouteName, ServiceName};
 
-/// What may be done with a request when its outcome is in doubt, and what its answer looks like.
+/// Whether a request may run again when its outcome is unknown, and the form of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Readable, Writable, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// May run more than once; the answer is whole or nothing.
+    /// May run more than once; the answer is passed on complete or not at all.
     Repeatable,
-    /// Runs at most once; the answer is whole or nothing.
+    /// Runs at most once; the answer is passed on complete or not at all.
     Once,
     /// The answer is a stream of events. Only a resumable one may run more than once.
     Stream {
-        /// Whether another back end may take the stream up after an event.
+        /// Whether another back end may resume the stream after an event.
         resumable: bool,
     },
 }
@@ -33,37 +33,37 @@
     }
 }
 
-/// A service's part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its part, relative to the sum of the route's weights. 0: none.
+    /// Its share, relative to the sum of the route's weights. 0: none.
     pub weight: u32,
 }
 
-/// What holds for the requests of one host below one path prefix.
+/// The settings for the requests of one host below one path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct Route {
     /// The route's name, for logs and metrics.
     pub name: RouteName,
-    /// The host that callers name, in lower case and without a port.
+    /// The host in callers' requests, in lower case and without a port.
     pub host: String,
-    /// How the path begins; begins and ends with a slash.
+    /// The prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated, and what the answer looks like.
+    /// Whether requests may run again, and the form of the answer.
     pub kind: RequestKind,
-    /// The longest that a request may be held.
+    /// The maximum time of a request.
     pub time_limit: Duration,
-    /// The time to the (first piece of the) answer that the operator aims at.
+    /// The operator's target for the time to the answer, or to its first piece for a stream.
     pub target_latency: Duration,
-    /// The longest pause between two events that the operator aims at.
+    /// The operator's target for the longest pause between two events.
     pub target_pause: Option<Duration>,
-    /// The most back ends that one request may be sent to.
+    /// The maximum number of back ends that one request may be sent to.
     pub attempts_maximum: u32,
-    /// The rank among routes; 0 is the most urgent.
+    /// The priority among routes; 0 is the most urgent.
     pub priority: u8,
-    /// Whether its requests need no key, also where others do.
+    /// Whether its requests need no key, even where other routes need one.
     pub is_public: bool,
     /// The services that share the requests; never empty.
     pub services: Vec<WeightedService>,
--- a/crates/core/src/routing/split.rs
+++ b/crates/core/src/routing/split.rs
@@ -1,47 +1,47 @@
-//! Shares a route's requests between its services by weight.
+//! Splits a route's requests between its services by weight.
 
 use std::collections::HashMap;
 
 use super::route::{Route, WeightedService};
 use crate::world::{RouteName, ServiceName};
 
-/// Turns of the services of each route: smooth weighted round robin.
+/// Smooth weighted round robin over the services of each route.
 ///
-/// After any number of requests, each service's count is within one of its weight's share, so that every node holds the
-/// weights by itself and so do all nodes together.
+/// After any number of requests, each service's count is within one of its weight's share. Every node keeps to the weights
+/// on its own, and so do all nodes together.
 #[derive(Clone, Debug, Default)]
 pub struct SplitTurns {
-    turns: HashMap<RouteName, RouteTurns>,
+    rotations: HashMap<RouteName, Rotation>,
 }
 
 #[derive(Clone, Debug)]
-struct RouteTurns {
+struct Rotation {
     services: Vec<WeightedService>,
-    credit: Vec<i64>,
+    credits: Vec<i64>,
 }
 
 impl SplitTurns {
-    /// Turns that start anew for each route.
+    /// Round robin without previous requests.
     pub fn new() -> Self {
         SplitTurns::default()
     }
 
-    /// The service that takes the next request of `route`; `None` when all weights are 0.
+    /// The service for the next request of `route`; `None` when all weights are 0.
     pub fn next<'route>(&mut self, route: &'route Route) -> Option<&'route ServiceName> {
         if let [only] = route.services.as_slice() {
             return (only.weight > 0).then_some(&only.service);
         }
-        let turns = self.turns.entry(route.name.clone()).or_insert_with(|| RouteTurns::new(&route.services));
-        if turns.services != route.services {
-            *turns = RouteTurns::new(&route.services);
+        let rotation = self.rotations.entry(route.name.clone()).or_insert_with(|| Rotation::new(&route.services));
+        if rotation.services != route.services {
+            *rotation = Rotation::new(&route.services);
         }
-        turns.next().map(|index| &route.services[index].service)
+        rotation.next().map(|index| &route.services[index].service)
     }
 }
 
-impl RouteTurns {
+impl Rotation {
     fn new(services: &[WeightedService]) -> Self {
-        RouteTurns { services: services.to_vec(), credit: vec![0; services.len()] }
+        Rotation { services: services.to_vec(), credits: vec![0; services.len()] }
     }
 
     fn next(&mut self) -> Option<usize> {
@@ -49,13 +49,13 @@
         if total == 0 {
             return None;
         }
-        for (credit, service) in self.credit.iter_mut().zip(&self.services) {
+        for (credit, service) in self.credits.iter_mut().zip(&self.services) {
             *credit += i64::from(service.weight);
         }
-        let index = (0..self.credit.len())
+        let index = (0..self.credits.len())
             .filter(|index| self.services[*index].weight > 0)
-            .max_by_key(|index| (self.credit[*index], std::cmp::Reverse(*index)))?;
-        self.credit[index] -= total;
+            .max_by_key(|index| (self.credits[*index], std::cmp::Reverse(*index)))?;
+        self.credits[index] -= total;
         Some(index)
     }
 }
--- a/crates/core/src/routing/table.rs
+++ b/crates/core/src/routing/table.rs
@@ -20,13 +20,13 @@
             by_host.entry(route.host.clone()).or_default().push(Arc::new(route.clone()));
         }
         for routes in by_host.values_mut() {
-            // A stable sort: of two routes with the same prefix, the one that is written first wins.
+            // The sort is stable: of two routes with the same prefix, the first in the configuration wins.
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         RouteTable { by_host }
     }
 
-    /// The route with the longest prefix of `path` among those for `host`, which may carry a port and capitals.
+    /// The route with the longest prefix of `path` among those for `host`, which may contain a port and upper case.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or_default().to_ascii_lowercase();
         self.by_host.get(&host)?.iter().find(|route| path.starts_with(&route.path_prefix))
--- a/crates/core/src/routing/tenant.rs
+++ b/crates/core/src/routing/tenant.rs
@@ -1,4 +1,4 @@
-//! Who may ask: tenants and their keys, of which only digests are held.
+//! Admission of requests: tenants and their keys, which are stored only as digests.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,11 +12,11 @@
 use super::route::Route;
 use crate::world::TenantName;
 
-/// The bytes that are kept of a key's SHA-256. With 16 of them, no key can be found that has a given digest, and two of a
-/// million keys share one once in 10^26 configurations.
+/// The length to which a key's SHA-256 is truncated. With 16 bytes, finding a key with a given digest is infeasible, and
+/// two of a million keys share a digest once in 10^26 configurations.
 const DIGEST_BYTES: usize = 16;
 
-/// A key without the key: what nodes hold, compare and send each other in its place.
+/// The digest of a key, which nodes store, compare and send to each other in its place.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
@@ -30,42 +30,42 @@
 }
 
 impl fmt::Debug for KeyDigest {
-    /// Nothing of it: what is logged may be read by those who may not know which keys are the same.
+    /// Writes no part of the digest: readers of logs must not learn which keys are equal.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("KeyDigest(..)")
     }
 }
 
-/// A tenant as the configuration of the traffic has it.
+/// A tenant in the traffic configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct TenantAccess {
     /// The tenant.
     pub name: TenantName,
     /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// The rank of its requests, which goes before their route's; `None`: the route's holds.
+    /// The priority of its requests, which overrides that of their route; `None`: the route's priority applies.
     pub priority: Option<u8>,
 }
 
-/// What a caller shows to say who asks.
+/// The credentials in a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// Nothing.
+    /// No key.
     None,
     /// A key.
     Key(KeyDigest),
-    /// Something from which no single key can be read.
+    /// Credentials that contain no single valid key.
     Unusable,
 }
 
-/// Why a request is not admitted. It has not run and will not.
+/// Why a request is not admitted. It has not run and will not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum NotAdmitted {
     /// the request carries no key
     NoKey,
-    /// the key is no tenant's
+    /// the key belongs to no tenant
     UnknownKey,
-    /// what is to tell the key tells none, or several
+    /// the credentials hold no readable key, or several keys
     UnusableKey,
 }
 
@@ -84,14 +84,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct KeyTable {
     by_key: HashMap<KeyDigest, Arc<TenantAccess>>,
-    /// The tenants that hold a key which another one, written before, holds too.
+    /// The tenants with a key that an earlier tenant in the configuration has too.
     clashing: Vec<TenantName>,
 }
 
 impl KeyTable {
-    /// The table of `configuration`'s tenants; `None` where the configuration has no tenants, so that nobody needs a key.
+    /// The table of `configuration`'s tenants; `None` where the configuration has no tenants, so that no caller needs a key.
     ///
-    /// A key that two tenants hold is the first one's: which that is must not depend on the node.
+    /// A key of two tenants belongs to the first in the configuration, so that all nodes agree.
     pub fn new(configuration: &TrafficConfiguration) -> Option<Self> {
         let mut table = KeyTable::default();
         for tenant in configuration.tenants.as_ref()? {
@@ -106,15 +106,15 @@
         Some(table)
     }
 
-    /// The tenants that hold a key of another one's, once for each such key.
+    /// The tenants with a key that belongs to another tenant, once for each such key.
     pub fn clashing(&self) -> &[TenantName] {
         &self.clashing
     }
 
-    /// Whose request it is that comes on `route` with the key `presented`; `None`: nobody's in particular.
+    /// The tenant of a request on `route` with the key `presented`; `None`: no tenant.
     ///
     /// # Errors
-    /// When the route needs a key and the request has none that is known.
+    /// When the route needs a key and the request has no known key.
     pub fn admit(&self, route: &Route, presented: PresentedKey) -> Result<Option<Arc<TenantAccess>>, NotAdmitted> {
         let refusal = match presented {
             PresentedKey::Key(key) => match self.by_key.get(&key) {
