--- a/crates/core/tests/relay_engine_model.rs
+++ b/crates/core/tests/relay_engine_model.rs
@@ -1,4 +1,4 @@
-//! Estimates of engines that nothing is configured of.
+//! Estimates of engine rates and KV cache moves, which need no configuration.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
 
-/// Engines that were drawn at random; readings of one wait for others now and then, and few look too fast.
+/// Observes prefills of an engine with a random rate. A quarter of them are slow because they queue behind others, and one
+/// in twenty looks too fast.
 fn estimate(random: &mut arbtest::arbitrary::Unstructured<'_>, samples: u32) -> arbtest::arbitrary::Result<(f64, f64)> {
     let rate = f64::from(random.int_in_range(20..=500_u32)?);
     let mut model = EngineModel::default();
@@ -25,11 +26,11 @@
     Ok((rate, model.rate(EngineStage::Prefill)))
 }
 
-/// The bytes of randomness of one run, beside its seed.
+/// The size of the random input of one run, in bytes; the low part of arbtest's seed.
 const SIZE: u64 = 0x4000;
 
 #[test]
-fn a_rate_is_found_whatever_the_engine_and_despite_outliers() {
+fn rate_estimates_are_accurate_despite_outliers() {
     for seed in 1..=50_u64 {
         arbtest::arbtest(|random| {
             let (rate, estimated) = estimate(random, 400)?;
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn one_sample_moves_an_estimate_only_so_far() {
+fn one_sample_moves_an_estimate_by_a_limited_step() {
     let mut model = EngineModel::default();
     for _ in 0..200 {
         model.observe_prefill(EngineStage::Decode, 10_000, Duration::from_millis(50));
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn short_readings_show_nothing() {
+fn short_prefills_are_not_counted_as_samples() {
     let mut model = EngineModel::default();
     model.observe_prefill(EngineStage::Prefill, 100, Duration::from_secs(1));
     assert!(model.estimates(START).iter().all(|(_, estimate)| estimate.samples == 0));
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn what_an_engine_takes_to_begin_an_answer_is_no_part_of_a_move() {
+fn the_wait_for_an_answer_is_not_part_of_the_move_time() {
     for wait in [0, 20, 200, 600] {
         let mut model = EngineModel::default();
         for number in 0..100 {
@@ -82,13 +83,16 @@
             model.observe_wait(Duration::from_millis(wait), now);
             model.observe_move(10_000, Duration::from_millis(wait + 8), now);
         }
-        let believed = model.move_millis(10_000.0, after(2_000));
-        assert!((4.0..20.0).contains(&believed), "{believed} ms believed of a move of 8 ms, after a wait of {wait} ms");
+        let estimated = model.move_millis(10_000.0, after(2_000));
+        assert!(
+            (4.0..20.0).contains(&estimated),
+            "{estimated} ms estimated for a move of 8 ms, after a wait of {wait} ms"
+        );
     }
 }
 
 #[test]
-fn moves_that_are_made_and_slow_are_believed_slow_for_as_long() {
+fn the_estimate_stays_high_while_slow_moves_continue() {
     let mut model = EngineModel::default();
     let move_of =
         |model: &mut EngineModel, millis, at| model.observe_move(10_000, Duration::from_millis(millis), after(at));
@@ -96,33 +100,33 @@
     let before = model.move_millis(10_000.0, after(10_000));
     (0..200).for_each(|number| move_of(&mut model, 320, 10_000 + number * 50));
     let meanwhile = model.move_millis(10_000.0, after(20_000));
-    assert!(meanwhile > 3.0 * before, "{before} ms believed before and {meanwhile} ms while moves take 320 ms");
+    assert!(meanwhile > 3.0 * before, "{before} ms estimated before and {meanwhile} ms while moves take 320 ms");
 }
 
 #[test]
-fn what_was_learned_of_moves_is_forgotten_when_none_is_made() {
+fn the_move_estimate_decays_to_the_prior_without_moves() {
     let mut model = EngineModel::default();
     (0..300).for_each(|_| model.observe_move(10_000, Duration::from_millis(650), START));
-    let believed = |millis| model.move_millis(10_000.0, after(millis));
-    assert!(believed(0) > 500.0);
-    assert!(believed(3_000) < 100.0, "{} ms after 3 s", believed(3_000));
-    assert!(believed(20_000) < 11.0, "{} ms after 20 s", believed(20_000));
+    let estimated = |millis| model.move_millis(10_000.0, after(millis));
+    assert!(estimated(0) > 500.0);
+    assert!(estimated(3_000) < 100.0, "{} ms after 3 s", estimated(3_000));
+    assert!(estimated(20_000) < 11.0, "{} ms after 20 s", estimated(20_000));
 }
 
 #[test]
-fn no_sample_of_a_move_or_a_wait_makes_a_belief_that_lasts() {
-    let odd = [Duration::ZERO, Duration::from_nanos(1), Duration::from_secs(36_000), Duration::MAX];
-    for took in odd {
+fn extreme_samples_of_moves_and_waits_have_no_lasting_effect() {
+    let extremes = [Duration::ZERO, Duration::from_nanos(1), Duration::from_secs(36_000), Duration::MAX];
+    for took in extremes {
         let mut model = EngineModel::default();
         model.observe_wait(took, START);
         model.observe_move(u32::MAX, took, START);
-        // A clock that stepped back gives an earlier moment.
+        // A clock that was set back yields an earlier timestamp.
         model.observe_move(1_000, took, Timestamp::ZERO);
         model.observe_move(0, took, START);
         let later = START + Duration::from_secs(60);
         (0..20).for_each(|_| model.observe_wait(Duration::from_millis(5), later));
         (0..50).for_each(|_| model.observe_move(10_000, Duration::from_millis(13), later));
-        let believed = model.move_millis(10_000.0, later);
-        assert!((2.0..14.0).contains(&believed), "{believed} ms believed of a move of 8 ms, after {took:?}");
+        let estimated = model.move_millis(10_000.0, later);
+        assert!((2.0..14.0).contains(&estimated), "{estimated} ms estimated for a move of 8 ms, after {took:?}");
     }
 }
--- a/crates/core/tests/relay_placement.rs
+++ b/crates/core/tests/relay_placement.rs
@@ -1,4 +1,4 @@
-//! Where a request is sent.
+//! Placement of requests on back ends.
 
 mod support {
     pub mod relay_fixture;
@@ -27,13 +27,13 @@
 
 const NOW: Timestamp = Timestamp::from_millis(10_000);
 
-/// A target that no reading misses.
-const ANY_TIME: Option<Duration> = Some(Duration::from_secs(3_600));
+/// A time limit that every prefill meets.
+const AMPLE_TIME: Option<Duration> = Some(Duration::from_secs(3_600));
 
-/// A target that readings meet unless many others wait.
-const A_SECOND: Option<Duration> = Some(Duration::from_secs(1));
+/// A time limit that prefills meet unless many others are queued.
+const ONE_SECOND: Option<Duration> = Some(Duration::from_secs(1));
 
-/// A target that is missed already.
+/// A time limit that has already passed.
 const NO_TIME: Option<Duration> = Some(Duration::ZERO);
 
 fn index() -> PromptIndex {
@@ -53,26 +53,30 @@
 }
 
 #[test]
-fn all_nodes_read_a_new_part_at_the_same_engine() {
+fn all_nodes_place_a_new_part_on_the_same_engine() {
     let engines = prefill_engines(6);
     let candidates: Vec<Candidate<'_>> = engines.iter().map(candidate).collect();
     let index = index();
     for key in 0..50 {
-        let purpose = Purpose::Prefill { prompt: &prompt(key), in_time: ANY_TIME, index: &index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt(key), in_time: AMPLE_TIME, index: &index, now: NOW };
         let first = placed(&candidates, &purpose, 1);
         assert!(first.is_some());
         let reversed: Vec<Candidate<'_>> = candidates.iter().rev().copied().collect();
-        assert_eq!(first, placed(&reversed, &purpose, 2), "neither the order nor the node's randomness matters");
+        assert_eq!(
+            first,
+            placed(&reversed, &purpose, 2),
+            "the result depends on neither the order nor the node's random numbers"
+        );
     }
 }
 
 #[test]
-fn an_engine_that_leaves_moves_only_its_own_parts() {
+fn removing_an_engine_moves_only_its_own_parts() {
     let engines = prefill_engines(6);
     let candidates: Vec<Candidate<'_>> = engines.iter().map(candidate).collect();
     let index = index();
     for key in 0..200 {
-        let purpose = Purpose::Prefill { prompt: &prompt(key), in_time: ANY_TIME, index: &index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt(key), in_time: AMPLE_TIME, index: &index, now: NOW };
         let before = placed(&candidates, &purpose, 1).expect("there are engines");
         let after = placed(&candidates[1..], &purpose, 1).expect("there are engines");
         assert!(before == after || before == engines[0].id.as_str());
@@ -80,14 +84,14 @@
 }
 
 #[test]
-fn a_part_goes_where_it_is_kept_unless_that_engine_has_much_to_read() {
+fn a_part_is_placed_where_it_is_cached_unless_that_engine_has_a_long_backlog() {
     let engines = prefill_engines(3);
     let candidates: Vec<Candidate<'_>> = engines.iter().map(candidate).collect();
     let mut index = index();
-    let reading = index.begin(&engines[1], &prompt(1), Urgency::InTime, NOW);
-    index.end(reading, true, NOW);
+    let prefill_id = index.begin(&engines[1], &prompt(1), Urgency::InTime, NOW);
+    index.end(prefill_id, true, NOW);
     let place_now = |index: &PromptIndex| {
-        placed(&candidates, &Purpose::Prefill { prompt: &prompt(1), in_time: ANY_TIME, index, now: NOW }, 1)
+        placed(&candidates, &Purpose::Prefill { prompt: &prompt(1), in_time: AMPLE_TIME, index, now: NOW }, 1)
     };
     assert_eq!(place_now(&index).as_deref(), Some(engines[1].id.as_str()));
     for key in 2..20 {
@@ -97,12 +101,12 @@
 }
 
 #[test]
-fn a_decode_engine_reads_a_long_prompt_when_all_prefill_engines_have_much_to_read() {
+fn a_decode_engine_prefills_a_long_prompt_when_all_prefill_engines_have_a_long_backlog() {
     let (prefill, decode) = (back_end(1, Some(EngineStage::Prefill)), back_end(2, Some(EngineStage::Decode)));
     let candidates = [candidate(&prefill), candidate(&decode)];
     let mut index = index();
     let place_now = |index: &PromptIndex| {
-        placed(&candidates, &Purpose::Prefill { prompt: &prompt(1), in_time: A_SECOND, index, now: NOW }, 1)
+        placed(&candidates, &Purpose::Prefill { prompt: &prompt(1), in_time: ONE_SECOND, index, now: NOW }, 1)
     };
     assert_eq!(place_now(&index).as_deref(), Some(prefill.id.as_str()));
     for key in 2..20 {
@@ -112,36 +116,39 @@
 }
 
 #[test]
-fn requests_go_to_the_stage_that_serves_them() {
+fn requests_are_placed_on_the_stage_that_serves_them() {
     let (prefill, decode) = (back_end(1, Some(EngineStage::Prefill)), back_end(2, Some(EngineStage::Decode)));
     let application = back_end(3, None);
     let candidates = [candidate(&prefill), candidate(&decode), candidate(&application)];
-    let of = |purpose: &Purpose<'_>| placed(&candidates, purpose, 1);
+    let placed_for = |purpose: &Purpose<'_>| placed(&candidates, purpose, 1);
     let index = index();
-    let read = Purpose::Prefill { prompt: &prompt(1), in_time: ANY_TIME, index: &index, now: NOW };
-    assert_eq!(of(&read).as_deref(), Some(prefill.id.as_str()));
-    assert_eq!(of(&Purpose::Decode { near: None, index: &index, now: NOW }).as_deref(), Some(decode.id.as_str()));
-    assert_eq!(of(&Purpose::Application).as_deref(), Some(application.id.as_str()));
+    let prefill_purpose = Purpose::Prefill { prompt: &prompt(1), in_time: AMPLE_TIME, index: &index, now: NOW };
+    assert_eq!(placed_for(&prefill_purpose).as_deref(), Some(prefill.id.as_str()));
+    assert_eq!(
+        placed_for(&Purpose::Decode { near: None, index: &index, now: NOW }).as_deref(),
+        Some(decode.id.as_str())
+    );
+    assert_eq!(placed_for(&Purpose::Application).as_deref(), Some(application.id.as_str()));
 }
 
 #[test]
-fn failing_back_ends_come_after_healthy_ones_and_leaving_ones_last() {
+fn failing_back_ends_come_after_healthy_ones_and_draining_ones_last() {
     let engines = decode_engines(3);
     let healthy = Candidate { in_flight: 30, ..candidate(&engines[0]) };
     let failing = Candidate { healthy: false, ..candidate(&engines[1]) };
-    let leaving = Candidate { usability: Usability::LastResort, ..candidate(&engines[2]) };
-    let gone = Candidate { usability: Usability::Unusable, ..candidate(&engines[0]) };
+    let draining = Candidate { usability: Usability::LastResort, ..candidate(&engines[2]) };
+    let unusable = Candidate { usability: Usability::Unusable, ..candidate(&engines[0]) };
     let index = index();
     let purpose = Purpose::Decode { near: None, index: &index, now: NOW };
     let id = |index: usize| Some(engines[index].id.to_string());
-    assert_eq!(placed(&[leaving, failing, healthy], &purpose, 1), id(0));
-    assert_eq!(placed(&[leaving, failing], &purpose, 1), id(1));
-    assert_eq!(placed(&[leaving, gone], &purpose, 1), id(2));
-    assert_eq!(placed(&[gone], &purpose, 1), None);
+    assert_eq!(placed(&[draining, failing, healthy], &purpose, 1), id(0));
+    assert_eq!(placed(&[draining, failing], &purpose, 1), id(1));
+    assert_eq!(placed(&[draining, unusable], &purpose, 1), id(2));
+    assert_eq!(placed(&[unusable], &purpose, 1), None);
 }
 
 #[test]
-fn no_request_goes_where_no_connection_may_be_opened_or_where_it_was_sent() {
+fn back_ends_without_a_free_connection_or_with_an_earlier_attempt_are_excluded() {
     let engines = decode_engines(2);
     let full = Candidate { connectable: false, ..candidate(&engines[0]) };
     let index = index();
@@ -157,7 +164,7 @@
 }
 
 #[test]
-fn a_stream_goes_near_its_prompt_unless_others_have_much_less_to_do() {
+fn a_stream_is_placed_in_the_zone_of_its_prompt_unless_another_engine_has_far_fewer_requests() {
     let engines = decode_engines(2);
     let zone = engines[0].zone.clone();
     let index = index();
@@ -195,14 +202,14 @@
     let candidates = [candidate(&prefill), candidate(&decode), candidate(&other)];
     let mut index = index();
     let place_with = |index: &PromptIndex, config: &PlacementConfig| {
-        let purpose = Purpose::Prefill { prompt: &prompt(1), in_time: A_SECOND, index, now: NOW };
+        let purpose = Purpose::Prefill { prompt: &prompt(1), in_time: ONE_SECOND, index, now: NOW };
         place(&candidates, &purpose, config, |_| false, &mut fastrand::Rng::with_seed(1)).map(|placed| placed.index)
     };
     let default = PlacementConfig::default();
     let first = place_with(&index, &default).expect("there are engines");
-    let keeper = if first == 0 { &other } else { &prefill };
-    index.moved(&keeper.id, &prompt(1), Duration::from_millis(12), NOW);
-    assert_ne!(place_with(&index, &default), Some(first), "it is read where it is kept");
+    let cache_peer = if first == 0 { &other } else { &prefill };
+    index.moved(&cache_peer.id, &prompt(1), Duration::from_millis(12), NOW);
+    assert_ne!(place_with(&index, &default), Some(first), "the prefill is placed where the part is cached");
     let without_affinity = PlacementConfig { affinity: false, ..default };
     assert_eq!(place_with(&index, &without_affinity), Some(first));
     for engine in [&prefill, &other] {
@@ -211,14 +218,14 @@
         });
     }
     assert_eq!(place_with(&index, &default), Some(1));
-    let in_any_case = PlacementConfig { prefill_suffices_share: 1e3, ..default };
-    assert_ne!(place_with(&index, &in_any_case), Some(1));
+    let always_sufficient = PlacementConfig { prefill_suffices_share: 1e3, ..default };
+    assert_ne!(place_with(&index, &always_sufficient), Some(1));
     let prefill_only = PlacementConfig { decode_engines_read: false, ..default };
     assert_ne!(place_with(&index, &prefill_only), Some(1));
 }
 
 #[test]
-fn values_that_cannot_be_reckoned_with_are_refused() {
+fn values_out_of_range_are_rejected() {
     let default = PlacementConfig::default();
     assert_eq!(default.validate(), Ok(()));
     let wrong = [
@@ -235,7 +242,7 @@
 }
 
 #[test]
-fn a_request_is_hopeless_only_where_it_waits_for_others() {
+fn a_request_is_refused_only_where_it_would_queue() {
     let engines = prefill_engines(1);
     let candidates = [candidate(&engines[0])];
     let mut index = index();
@@ -245,47 +252,50 @@
         place(&candidates, &purpose, &PlacementConfig::default(), |_| false, random).expect("there is an engine")
     };
     for _ in 0..400 {
-        let reading = index.begin(&engines[0], &prompt(1), Urgency::Late, NOW);
-        index.end(reading, true, NOW + Duration::from_secs(60));
+        let prefill_id = index.begin(&engines[0], &prompt(1), Urgency::Late, NOW);
+        index.end(prefill_id, true, NOW + Duration::from_secs(60));
     }
     let left = Duration::from_secs(2);
     let idle = place_now(&index);
     assert!(
         idle.expected_time > left && !idle.should_refuse(left, None),
-        "only a send there can show that it is fast again"
+        "only a request sent there can correct the estimate"
     );
-    let reading = index.begin(&engines[0], &prompt(2), Urgency::InTime, NOW);
+    let prefill_id = index.begin(&engines[0], &prompt(2), Urgency::InTime, NOW);
     let waiting = place_now(&index);
     assert!(waiting.should_refuse(left, None));
     let enough = 2 * waiting.expected_time;
     assert!(!waiting.should_refuse(enough, Some(1.0)) && waiting.should_refuse(enough, Some(2.5)));
-    assert!(!idle.should_refuse(left, Some(2.5)), "what waits for nothing is not refused, however long late ones take");
-    index.end(reading, true, NOW);
+    assert!(
+        !idle.should_refuse(left, Some(2.5)),
+        "a request that would not queue is not refused, however long late ones take"
+    );
+    index.end(prefill_id, true, NOW);
     assert!(!place_now(&index).should_refuse(left, None));
 }
 
 #[test]
-fn a_prompt_that_no_engine_reads_in_time_goes_behind_those_that_can_be_in_time() {
+fn a_prompt_that_would_be_late_everywhere_queues_behind_those_that_can_be_in_time() {
     let engines = prefill_engines(2);
     let candidates: Vec<Candidate<'_>> = engines.iter().map(candidate).collect();
     let mut index = index();
-    let place_within = |index: &PromptIndex, in_time: Option<Duration>, config: &PlacementConfig| {
+    let place_with_time_limit = |index: &PromptIndex, in_time: Option<Duration>, config: &PlacementConfig| {
         let purpose = Purpose::Prefill { prompt: &prompt(1), in_time, index, now: NOW };
         let random = &mut fastrand::Rng::with_seed(1);
         place(&candidates, &purpose, config, |_| false, random).expect("there are engines")
     };
     let default = PlacementConfig::default();
-    let first = place_within(&index, ANY_TIME, &default);
+    let first = place_with_time_limit(&index, AMPLE_TIME, &default);
     assert_eq!(first.urgency, Urgency::InTime);
-    assert_eq!(place_within(&index, NO_TIME, &default).urgency, Urgency::Late);
-    // What is late there is no hindrance to what can be in time, but is to what is late too.
+    assert_eq!(place_with_time_limit(&index, NO_TIME, &default).urgency, Urgency::Late);
+    // Late prompts in the backlog do not delay prompts that can be in time, but do delay other late prompts.
     for key in 2..20 {
         index.begin(&engines[first.index], &prompt(key), Urgency::Late, NOW);
     }
-    assert_eq!(place_within(&index, ANY_TIME, &default).index, first.index);
-    assert_ne!(place_within(&index, NO_TIME, &default).index, first.index);
-    let without_order = PlacementConfig { orders_by_urgency: false, ..default };
-    assert_eq!(place_within(&index, NO_TIME, &without_order).urgency, Urgency::InTime);
+    assert_eq!(place_with_time_limit(&index, AMPLE_TIME, &default).index, first.index);
+    assert_ne!(place_with_time_limit(&index, NO_TIME, &default).index, first.index);
+    let without_urgency_order = PlacementConfig { orders_by_urgency: false, ..default };
+    assert_eq!(place_with_time_limit(&index, NO_TIME, &without_urgency_order).urgency, Urgency::InTime);
 }
 
 #[test]
@@ -294,7 +304,7 @@
     let second = Duration::from_secs(1);
     assert_eq!(config.in_time(Duration::ZERO, second), None);
     assert_eq!(config.in_time(2 * second, second), Some(2 * second));
-    assert_eq!(config.in_time(second, 3 * second), Some(Duration::ZERO), "what has waited longer is late");
+    assert_eq!(config.in_time(second, 3 * second), Some(Duration::ZERO), "a request that has waited longer is late");
     let engines = prefill_engines(1);
     let index = index();
     let purpose = Purpose::Prefill { prompt: &prompt(1), in_time: None, index: &index, now: NOW };
@@ -304,12 +314,17 @@
 }
 
 #[test]
-fn decode_engines_are_left_out_while_a_prefill_engine_reads_early_enough() {
-    let (reader, answerer) = (back_end(1, Some(EngineStage::Prefill)), back_end(2, Some(EngineStage::Decode)));
-    let candidates = [candidate(&reader), candidate(&answerer)];
+fn decode_engines_are_left_out_while_a_prefill_engine_is_early_enough() {
+    let (prefill, decode) = (back_end(1, Some(EngineStage::Prefill)), back_end(2, Some(EngineStage::Decode)));
+    let candidates = [candidate(&prefill), candidate(&decode)];
     let mut index = index();
-    // The prefill engine has 300 ms to read, so the idle decode engine is the faster one.
-    index.begin(&reader, &Prompt { tokens: 30_000, output_tokens_maximum: 1, parts: Vec::new() }, Urgency::InTime, NOW);
+    // The prefill engine has a backlog of 300 ms, so the idle decode engine is faster.
+    index.begin(
+        &prefill,
+        &Prompt { tokens: 30_000, output_tokens_maximum: 1, parts: Vec::new() },
+        Urgency::InTime,
+        NOW,
+    );
     let prompt = Prompt { tokens: 3_000, output_tokens_maximum: 1, parts: Vec::new() };
     let chosen = |share: f64, in_time_millis: u64| {
         let config = PlacementConfig { prefill_suffices_share: share, target_share: 1.0, ..PlacementConfig::default() };
@@ -324,7 +339,7 @@
 }
 
 #[test]
-fn a_short_prompt_is_read_aside_only_where_nothing_else_is_read() {
+fn a_short_prompt_is_placed_only_on_an_idle_prefill_engine() {
     let engines = [
         back_end(1, Some(EngineStage::Prefill)),
         back_end(2, Some(EngineStage::Prefill)),
--- a/crates/core/tests/relay_retry_budget.rs
+++ b/crates/core/tests/relay_retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget for repeats that all nodes share without a message.
+//! The retry budget that all nodes share without messages.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn requests_pay_for_half_of_their_repeats_at_once() {
+fn half_of_the_repeats_per_request_are_available_at_once() {
     let mut budget = without_slack();
     let now = Timestamp::from_millis(1_000);
     assert!(!budget.try_repeat(now));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_steady_load_pays_for_the_whole_share_of_repeats() {
+fn a_steady_load_reaches_the_full_ratio_of_repeats() {
     let mut budget = without_slack();
     let (mut requests, mut repeats) = (0, 0);
     for number in 0..STEPS {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_is_spent_comes_back_after_the_window() {
+fn spent_repeats_are_available_again_after_the_window() {
     let mut budget = node(1);
     let now = Timestamp::from_millis(1_000);
     while budget.try_repeat(now) {}
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn more_nodes_have_smaller_parts() {
+fn shares_shrink_with_more_nodes() {
     let mut budget = node(1);
     let now = Timestamp::from_millis(1_000);
     let alone = budget.left(now);
@@ -64,19 +64,19 @@
     assert!((alone / 9.0 - budget.left(now)).abs() < 1e-9);
 }
 
-/// What all nodes did in one step.
+/// The requests and repeats of all nodes in one step.
 #[derive(Clone, Copy, Default)]
 struct Step {
     requests: u32,
     repeats: u32,
 }
 
-fn sum(steps: &[Step], first: u64, count: u64, what: impl Fn(&Step) -> u32) -> f64 {
+fn sum(steps: &[Step], first: u64, count: u64, count_of: impl Fn(&Step) -> u32) -> f64 {
     let (first, count) = (usize::try_from(first).unwrap(), usize::try_from(count).unwrap());
-    steps.iter().skip(first).take(count).map(|step| f64::from(what(step))).sum()
+    steps.iter().skip(first).take(count).map(|step| f64::from(count_of(step))).sum()
 }
 
-/// Several nodes with bursts of requests that all want to repeat, one of which is restarted now and then.
+/// Several nodes with bursts of requests use all repeats that the budget allows. One node is restarted from time to time.
 fn shared_budget_holds(choices: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
     let count = choices.int_in_range(1..=9_u32)?;
     let mut nodes: Vec<SharedRetryBudget> = (0..count).map(|_| node(count)).collect();
@@ -117,13 +117,13 @@
     }
 }
 
-/// Users saw repeats pile up beyond what is allowed while engines broke off their requests. Most of them were readings that
-/// nobody had counted (`relay_exchange`); the search for more of the same kind, a count at the nodes that is not the engines',
-/// found this one. Each node weighed its repeats against whichever of three windows it had the most requests in itself.
-/// All nodes together have to answer for one and the same window: when callers go over from some nodes to others, the
-/// former count the requests of before, the latter those of after. Here that makes 580 repeats where 534 are allowed.
+/// Guards against repeats beyond the budget when callers move between nodes. Each node compared its repeats with the one of
+/// three windows that had most of its own requests, but all nodes together have to use the same window: otherwise, the nodes
+/// that callers leave count the requests before the move and the others those after it. That made 580 repeats here, where
+/// 534 are allowed. Most of the excess repeats seen while engines interrupted requests were uncounted prefills, which
+/// `relay_exchange` covers.
 #[test]
-fn load_that_moves_between_nodes_pays_for_repeats_once() {
+fn load_that_moves_between_nodes_counts_once_for_repeats() {
     let mut nodes: Vec<SharedRetryBudget> = (0..8).map(|_| node(8)).collect();
     let mut steps = vec![Step::default(); STEPS as usize];
     for number in 200..STEPS {
@@ -143,17 +143,17 @@
     check_windows(&steps);
 }
 
-/// Nodes whose callers come and go, that have something to repeat only at times, and are restarted.
-fn shared_budget_holds_in_spells(choices: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
+/// Nodes with changing load that repeat requests only intermittently, and are restarted from time to time.
+fn shared_budget_holds_with_intermittent_repeats(choices: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
     let count = choices.int_in_range(1..=9_u32)?;
     let mut nodes: Vec<SharedRetryBudget> = (0..count).map(|_| node(count)).collect();
     let mut steps = vec![Step::default(); STEPS as usize];
-    let mut spells = vec![(0, false); nodes.len()];
+    let mut phases = vec![(0, false); nodes.len()];
     for number in 0..STEPS {
         if number % 20 == 0 {
-            for spell in &mut spells {
+            for phase in &mut phases {
                 if choices.ratio(1, 3_u8)? {
-                    *spell = (choices.int_in_range(0..=9_u32)?, choices.ratio(1, 4_u8)?);
+                    *phase = (choices.int_in_range(0..=9_u32)?, choices.ratio(1, 4_u8)?);
                 }
             }
         }
@@ -163,7 +163,7 @@
         }
         let now = Timestamp::from_millis(1_000 + number * STEP_MILLIS);
         let step = &mut steps[usize::try_from(number).unwrap()];
-        for (budget, (load, repeats)) in nodes.iter_mut().zip(&spells) {
+        for (budget, (load, repeats)) in nodes.iter_mut().zip(&phases) {
             (0..*load).for_each(|_| budget.record_request(now));
             step.requests += load;
             while *repeats && budget.try_repeat(now) {
@@ -176,9 +176,9 @@
 }
 
 #[test]
-fn nodes_that_repeat_in_spells_stay_within_the_budget_in_every_window() {
+fn nodes_that_repeat_intermittently_stay_within_the_budget_in_every_window() {
     for seed in 1..=200_u64 {
-        arbtest::arbtest(shared_budget_holds_in_spells).seed(seed << 32 | 0x400);
+        arbtest::arbtest(shared_budget_holds_with_intermittent_repeats).seed(seed << 32 | 0x400);
     }
 }
 
--- a/crates/core/tests/relay_short_reading.rs
+++ b/crates/core/tests/relay_short_reading.rs
@@ -1,4 +1,4 @@
-//! Where short prompts are read, by how long they took.
+//! Where short prompts are processed, by the latency of earlier ones.
 
 use std::time::Duration;
 
@@ -6,37 +6,37 @@
 
 const TARGET: Duration = Duration::from_millis(250);
 
-fn times_apart(short_reading: &ShortPrefill) -> usize {
+fn prefill_engine_count(short_prefill: &ShortPrefill) -> usize {
     let mut random = fastrand::Rng::with_seed(1);
-    (0..1_000).filter(|_| short_reading.prefers_prefill_engine(TARGET, &mut random)).count()
+    (0..1_000).filter(|_| short_prefill.prefers_prefill_engine(TARGET, &mut random)).count()
 }
 
-fn after(apart_millis: u64, there_millis: u64, requests: usize) -> ShortPrefill {
-    let mut short_reading = ShortPrefill::default();
+fn after(prefill_engine_millis: u64, decode_engine_millis: u64, requests: usize) -> ShortPrefill {
+    let mut short_prefill = ShortPrefill::default();
     for _ in 0..requests {
-        short_reading.observe(true, Duration::from_millis(apart_millis));
-        short_reading.observe(false, Duration::from_millis(there_millis));
+        short_prefill.observe(true, Duration::from_millis(prefill_engine_millis));
+        short_prefill.observe(false, Duration::from_millis(decode_engine_millis));
     }
-    short_reading
+    short_prefill
 }
 
 #[test]
-fn prompts_are_read_apart_while_that_is_fast_enough_even_if_the_other_way_is_faster() {
-    assert_eq!(times_apart(&ShortPrefill::default()), 1_000);
-    assert_eq!(times_apart(&after(60, 20, 50)), 1_000);
+fn prefill_engines_are_preferred_while_fast_enough_even_if_decode_engines_are_faster() {
+    assert_eq!(prefill_engine_count(&ShortPrefill::default()), 1_000);
+    assert_eq!(prefill_engine_count(&after(60, 20, 50)), 1_000);
 }
 
 #[test]
-fn a_few_slow_requests_turn_the_way_and_some_still_look_whether_it_is_fast_again() {
+fn a_few_slow_requests_change_the_preference_and_probes_restore_it() {
     let slow = after(1_500, 40, 5);
-    assert!((50..200).contains(&times_apart(&slow)), "{}", times_apart(&slow));
-    let mut again = slow;
-    (0..12).for_each(|_| again.observe(true, Duration::from_millis(30)));
-    assert_eq!(times_apart(&again), 1_000);
+    assert!((50..200).contains(&prefill_engine_count(&slow)), "{}", prefill_engine_count(&slow));
+    let mut recovered = slow;
+    (0..12).for_each(|_| recovered.observe(true, Duration::from_millis(30)));
+    assert_eq!(prefill_engine_count(&recovered), 1_000);
 }
 
 #[test]
-fn where_both_are_slow_the_faster_one_is_taken() {
-    assert_eq!(times_apart(&after(300, 900, 50)), 1_000);
-    assert!(times_apart(&after(900, 300, 50)) < 200);
+fn the_faster_one_is_preferred_when_both_are_slow() {
+    assert_eq!(prefill_engine_count(&after(300, 900, 50)), 1_000);
+    assert!(prefill_engine_count(&after(900, 300, 50)) < 200);
 }
--- a/crates/core/tests/relay_suspicions.rs
+++ b/crates/core/tests/relay_suspicions.rs
@@ -1,4 +1,4 @@
-//! Back ends that several nodes could not reach.
+//! Detection of back ends that several nodes could not reach.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn one_node_alone_proves_nothing_and_two_do() {
+fn reports_of_one_node_are_not_enough_and_those_of_two_are() {
     let mut suspicions = Suspicions::default();
     suspicions.receive(&notice(1, &["a"], 0), NOW);
     suspicions.receive(&notice(1, &["a"], 0), NOW);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_suspicion_ends_by_itself_also_when_it_was_told_late() {
+fn a_suspicion_expires_even_if_it_was_reported_late() {
     let mut suspicions = Suspicions::default();
     for sender in [1, 2] {
         suspicions.receive(&notice(sender, &["a"], 700), NOW);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_answer_outweighs_what_was_seen_before_it() {
+fn an_answer_overrides_earlier_reports() {
     let mut suspicions = Suspicions::default();
     for sender in [1, 2] {
         suspicions.receive(&notice(sender, &["a"], 100), NOW);
@@ -67,19 +67,19 @@
 }
 
 #[test]
-fn a_node_that_reaches_hardly_anything_tells_nothing() {
+fn a_node_that_reaches_few_back_ends_reports_nothing() {
     let mut suspicions = Suspicions::default();
-    let most = SuspicionsConfig::default().reports_maximum;
-    for number in 0..most {
+    let maximum = SuspicionsConfig::default().reports_maximum;
+    for number in 0..maximum {
         suspicions.record_unreachable(tag(&format!("engine-{number}")), NOW);
     }
-    assert_eq!(suspicions.reports(NOW).len(), most);
+    assert_eq!(suspicions.reports(NOW).len(), maximum);
     suspicions.record_unreachable(tag("one more"), NOW);
     assert!(suspicions.reports(NOW).is_empty());
 }
 
 #[test]
-fn an_older_notice_does_not_shorten_a_newer_one_and_long_ones_are_cut() {
+fn an_older_notice_does_not_shorten_a_newer_one_and_long_notices_are_truncated() {
     let mut suspicions = Suspicions::default();
     for age in [0, 1_000] {
         for sender in [1, 2] {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_no_longer_counts_is_forgotten() {
+fn expired_reports_are_removed() {
     let mut suspicions = Suspicions::default();
     for sender in [1, 2] {
         suspicions.receive(&notice(sender, &["a"], 0), NOW);
--- a/crates/core/tests/relay_telling_pace.rs
+++ b/crates/core/tests/relay_telling_pace.rs
@@ -1,4 +1,4 @@
-//! How often peers may be told.
+//! The rate limit of announcements to peers.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const START: Timestamp = Timestamp::from_millis(10_000);
 
-fn stays_within(random: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
+fn stays_within_the_limit(random: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
     let config = AnnouncementPaceConfig { bytes_per_second: 50_000.0, burst: Duration::from_millis(500) };
     let mut pace = AnnouncementPace::new(config, START);
     let (mut now, mut sent, mut largest) = (START, 0, 0);
@@ -20,21 +20,21 @@
             largest = largest.max(bytes);
         }
         let span = now.since(START) + config.burst;
-        let most = span.as_secs_f64() * config.bytes_per_second + largest as f64;
-        assert!(sent as f64 <= most + 1.0, "{sent} bytes in {span:?}");
+        let maximum = span.as_secs_f64() * config.bytes_per_second + largest as f64;
+        assert!(sent as f64 <= maximum + 1.0, "{sent} bytes in {span:?}");
     }
     Ok(())
 }
 
 #[test]
-fn what_is_sent_stays_within_the_bytes_a_second_at_any_size_and_demand() {
+fn sent_bytes_stay_within_the_limit_at_any_message_size_and_demand() {
     for seed in 1..=50_u64 {
-        arbtest::arbtest(stays_within).seed(seed << 32 | 0x800);
+        arbtest::arbtest(stays_within_the_limit).seed(seed << 32 | 0x800);
     }
 }
 
 #[test]
-fn after_a_quiet_while_news_is_told_at_once() {
+fn an_announcement_after_an_idle_period_is_sent_at_once() {
     let mut pace = AnnouncementPace::new(AnnouncementPaceConfig::default(), START);
     pace.spend(1_000_000, START);
     assert!(!pace.wait(START).is_zero());
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which route and which service take a request.
+//! The route and the service of a request.
 
 mod support {
     pub mod relay_fixture;
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn hosts_are_compared_without_capitals_and_port() {
+fn hosts_are_compared_without_case_and_port() {
     assert_eq!(prefix_of("A.Example:8080", "/model/1").as_deref(), Some("/model/"));
 }
 
 #[test]
-fn what_no_route_takes_has_none() {
+fn requests_without_a_matching_route_have_none() {
     assert_eq!(prefix_of("a.example", "/model"), None, "a prefix ends with a slash");
     assert_eq!(prefix_of("a.example", "/"), None);
     assert_eq!(prefix_of("c.example", "/model/1"), None);
@@ -52,24 +52,24 @@
 }
 
 #[test]
-fn each_service_gets_its_weight_within_one_request_at_any_moment() {
+fn each_service_gets_its_share_within_one_request_at_any_time() {
     let split = route("a.example", "/split/", &[90, 7, 3, 0]);
     let mut turns = SplitTurns::new();
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
-    for taken in 1..=1_000_u32 {
+    for total in 1..=1_000_u32 {
         let service = turns.next(&split).expect("a weight is above 0").to_string();
         *counts.entry(service).or_default() += 1;
-        for part in &split.services {
-            let count = f64::from(counts.get(part.service.as_str()).copied().unwrap_or_default());
-            let share = f64::from(taken) * f64::from(part.weight) / 100.0;
-            assert!((count - share).abs() <= 1.0, "{} has {count} of {taken}, its share is {share}", part.service);
+        for weighted in &split.services {
+            let count = f64::from(counts.get(weighted.service.as_str()).copied().unwrap_or_default());
+            let share = f64::from(total) * f64::from(weighted.weight) / 100.0;
+            assert!((count - share).abs() <= 1.0, "{} has {count} of {total}, its share is {share}", weighted.service);
         }
     }
-    assert_eq!(counts.get("service-3"), None, "a weight of 0 gets nothing");
+    assert_eq!(counts.get("service-3"), None, "a service with a weight of 0 gets no requests");
 }
 
 #[test]
-fn changed_weights_count_from_the_next_request() {
+fn changed_weights_apply_from_the_next_request() {
     let mut turns = SplitTurns::new();
     assert!(turns.next(&route("a.example", "/split/", &[1, 1])).is_some());
     let changed = route("a.example", "/split/", &[0, 1]);
--- a/crates/core/tests/routing_tenants.rs
+++ b/crates/core/tests/routing_tenants.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, by its key.
+//! The tenant of a request, by its key.
 
 mod support {
     pub mod relay_fixture;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn each_key_is_its_tenants() {
+fn each_key_identifies_its_tenant() {
     let table = table(vec![tenant("press", &["k1", "k2"]), tenant("school", &["k3"])]);
     let route = route("a", "/", &[1]);
     assert_eq!(name_of(&table, &route, key("k2")), Ok(Some("press".into())));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn without_a_known_key_only_public_routes_serve() {
+fn only_public_routes_admit_requests_without_a_known_key() {
     let table = table(vec![tenant("press", &["k1"])]);
     let refusals = [
         (PresentedKey::None, NotAdmitted::NoKey),
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn a_configuration_without_tenants_asks_for_no_key_and_one_whose_tenants_are_gone_lets_nobody_in() {
+fn a_configuration_without_tenants_needs_no_key_and_one_with_an_empty_list_admits_no_request() {
     assert!(KeyTable::new(&configuration(None)).is_none());
     assert_eq!(name_of(&table(Vec::new()), &route("a", "/", &[1]), key("k1")), Err(NotAdmitted::UnknownKey));
 }
 
 #[test]
-fn a_key_that_two_tenants_hold_is_the_first_ones_and_one_that_a_tenant_holds_twice_is_its_own() {
+fn a_key_of_two_tenants_belongs_to_the_first_and_a_tenant_may_list_a_key_twice() {
     let table = table(vec![tenant("press", &["k1", "k1"]), tenant("school", &["k1", "k2"])]);
     let route = route("a", "/", &[1]);
     assert_eq!(name_of(&table, &route, key("k1")), Ok(Some("press".into())));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn nothing_of_a_key_or_its_digest_is_shown() {
+fn debug_output_contains_neither_keys_nor_digests() {
     let shown = format!("{:?}", tenant("press", &["secret"]));
     assert!(shown.contains("press") && !shown.contains("secret"));
     assert_eq!(format!("{:?}", KeyDigest::of(b"secret")), format!("{:?}", KeyDigest::of(b"other")));
--- a/crates/core/tests/support/engine_world.rs
+++ b/crates/core/tests/support/engine_world.rs
@@ -1,4 +1,5 @@
-//! A small world in virtual time: eight nodes place prompts on engines by the real decisions, and tell each other what they read.
+//! A simulation in virtual time: eight nodes place prompts on engines with the real placement code, and announce their
+//! prefills to each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,18 +14,19 @@
 
 use super::world_engine::{CACHE_TOKENS, Caller, Engine, Event};
 
-/// The time between two looks at the world, and between two notices of a node, in microseconds.
+/// The time between two simulation steps, and between two notices of a node, in microseconds.
 const TICK: u64 = 500;
-const NOTICE_PAUSE: u64 = 50_000;
+const NOTICE_INTERVAL: u64 = 50_000;
 
 const NODES: usize = 8;
 const PREFILL_ENGINES: usize = 7;
 const DECODE_ENGINES: usize = 5;
 
-/// A move takes so long for a thousand tokens, in milliseconds.
-const MOVE: f64 = 0.5;
+/// The time of a move, in milliseconds per thousand tokens.
+const MOVE_MILLIS: f64 = 0.5;
 
-/// Long prompts have a shared part, of which all engines that read can keep two thirds, and an own one.
+/// Long prompts have a shared part and a part of their own. All prefill engines together can cache two thirds of the shared
+/// parts.
 const SHARED_TOKENS: u32 = 6_000;
 const SHARED_PARTS: u64 = 600;
 const OWN_TOKENS: u32 = 3_000;
@@ -33,54 +35,54 @@
 const SHORT_TOKENS: u32 = 220;
 const SHORT_ANSWER_TOKENS: u32 = 90;
 
-/// The longest that an answer in time may take to begin.
+/// The maximum time to the start of an answer that is in time.
 pub const TARGET: Duration = Duration::from_millis(200);
 
-/// What the callers ask for in a second.
+/// The callers' request rates.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub long_per_second: f64,
     pub short_per_second: f64,
 }
 
-/// What strikes the engines.
+/// Faults of the engines.
 #[derive(Clone, Copy, Debug)]
-pub struct Trouble {
-    /// So many engines of each stage do nothing.
-    pub halted: usize,
-    /// Moves take so many times as long.
-    pub moves_slower: f64,
+pub struct Faults {
+    /// The number of halted engines in each stage.
+    pub halted_per_stage: usize,
+    /// The factor on the time of moves.
+    pub move_slowdown: f64,
 }
 
-impl Default for Trouble {
+impl Default for Faults {
     fn default() -> Self {
-        Trouble { halted: 0, moves_slower: 1.0 }
+        Faults { halted_per_stage: 0, move_slowdown: 1.0 }
     }
 }
 
-/// What one node goes by.
+/// The state of one node.
 struct Node {
     index: PromptIndex,
-    short_reading: ShortPrefill,
+    short_prefill: ShortPrefill,
 }
 
 impl Node {
     fn start() -> Self {
         let mut index = PromptIndex::new(PromptIndexConfig::default());
         index.set_cache_tokens(CACHE_TOKENS);
-        Node { index, short_reading: ShortPrefill::default() }
+        Node { index, short_prefill: ShortPrefill::default() }
     }
 }
 
-/// What one caller got.
+/// The outcome of one caller's request.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     pub arrived: Timestamp,
-    /// How long after its arrival its answer began; `None`: it left before.
+    /// The time from the arrival to the start of the answer; `None`: the caller left before.
     pub first_event: Option<Duration>,
 }
 
-/// The world, at one moment.
+/// The state of the simulation.
 pub struct World {
     /// In microseconds.
     now: u64,
@@ -113,37 +115,37 @@
         Timestamp::from_micros(self.now)
     }
 
-    /// Lets the load come for so long, while trouble strikes or not.
-    pub fn play(&mut self, time: Duration, load: Load, trouble: Trouble) {
-        let until = self.now + time.as_micros() as u64;
+    /// Runs the simulation for `duration` with this load and these faults.
+    pub fn run(&mut self, duration: Duration, load: Load, faults: Faults) {
+        let until = self.now + duration.as_micros() as u64;
         while self.now < until {
             self.now += TICK;
-            if self.now.is_multiple_of(NOTICE_PAUSE) {
+            if self.now.is_multiple_of(NOTICE_INTERVAL) {
                 self.exchange_notices();
             }
             for (rate, is_long) in [(load.long_per_second, true), (load.short_per_second, false)] {
                 if self.random.f64() < rate * TICK as f64 / 1e6 {
                     let caller = self.caller(is_long);
-                    self.arrive(caller);
+                    self.handle_arrival(caller);
                 }
             }
             for number in 0..self.engines.len() {
-                let place_in_stage = if number < PREFILL_ENGINES { number } else { number - PREFILL_ENGINES };
-                if place_in_stage >= trouble.halted {
+                let number_in_stage = if number < PREFILL_ENGINES { number } else { number - PREFILL_ENGINES };
+                if number_in_stage >= faults.halted_per_stage {
                     let events = self.engines[number].step(self.now);
-                    events.into_iter().for_each(|event| self.take_event(number, event, trouble));
+                    events.into_iter().for_each(|event| self.handle_event(number, event, faults));
                 }
             }
         }
     }
 
-    /// Has all nodes forget what they know, also of what they have under way.
+    /// Resets the state of all nodes, including that of their requests in flight.
     pub fn restart_nodes(&mut self) {
         self.nodes.iter_mut().for_each(|node| *node = Node::start());
     }
 
-    /// Has all nodes see moves of their own that took so long for a thousand tokens, in milliseconds.
-    pub fn show_moves(&mut self, count: usize, millis: f64) {
+    /// Lets all nodes observe `count` moves that took `millis` per thousand tokens.
+    pub fn observe_moves(&mut self, count: usize, millis: f64) {
         let now = self.now();
         let prompt = self.caller(true).prompt;
         let took = Duration::from_secs_f64(millis * f64::from(prompt.tokens) / 1e6);
@@ -153,17 +155,17 @@
         }
     }
 
-    /// What the first node believes of engines, for a test's complaint.
-    pub fn believed(&self) -> String {
+    /// The first node's estimates, for assertion messages.
+    pub fn estimates(&self) -> String {
         let named = self.nodes[0]
             .index
             .model()
             .estimates(self.now())
-            .map(|(name, belief)| format!("{name}={:.1}", belief.value));
+            .map(|(name, estimate)| format!("{name}={:.1}", estimate.value));
         named.join(" ")
     }
 
-    /// Nodes tell each other what they read and have read.
+    /// Sends each node's running and finished prefills to all other nodes.
     fn exchange_notices(&mut self) {
         self.notices += 1;
         let now = self.now();
@@ -198,35 +200,35 @@
         }
     }
 
-    /// What a node does with a request that comes: it has the prompt read apart, or sends it where it is answered.
-    fn arrive(&mut self, mut caller: Caller) {
+    /// Handles a request at its node: the prompt goes to a prefill engine, or to the decode engine that answers it.
+    fn handle_arrival(&mut self, mut caller: Caller) {
         let node = caller.node;
-        let reader = if caller.is_long {
-            self.choose_reader(node, &caller.prompt)
-        } else if self.nodes[node].short_reading.prefers_prefill_engine(TARGET, &mut self.random) {
+        let engine_number = if caller.is_long {
+            self.choose_engine_for_prefill(node, &caller.prompt)
+        } else if self.nodes[node].short_prefill.prefers_prefill_engine(TARGET, &mut self.random) {
             let now = self.now();
             self.choose(node, |index| Purpose::PrefillShort { index, now })
         } else {
             None
         };
-        let reader = reader.or_else(|| self.choose_answerer(node)).expect("there are engines");
+        let engine_number = engine_number.or_else(|| self.choose_decode_engine(node)).expect("there are engines");
         let now = self.now();
-        let engine = &mut self.engines[reader];
+        let engine = &mut self.engines[engine_number];
         if caller.is_long {
             caller.reading = Some(self.nodes[node].index.begin(&engine.back_end, &caller.prompt, Urgency::InTime, now));
         }
         engine.take_in(caller);
     }
 
-    fn take_event(&mut self, engine: usize, event: Event, trouble: Trouble) {
+    fn handle_event(&mut self, engine: usize, event: Event, faults: Faults) {
         let now = self.now();
         match event {
-            Event::Read(caller) => self.hand_over(caller, trouble),
+            Event::Read(caller) => self.send_to_decode_engine(caller, faults),
             Event::Left(caller) => {
                 if let Some(reading) = caller.reading {
                     self.nodes[caller.node].index.end(reading, false, now);
                 }
-                self.note_outcome(caller.arrived, None);
+                self.record_outcome(caller.arrived, None);
             }
             Event::Began { node, reading, prompt, is_long, was_moved, sent, arrived } => {
                 let node = &mut self.nodes[node];
@@ -237,41 +239,41 @@
                 match (is_long, was_moved) {
                     (true, true) => node.index.moved(&self.engines[engine].back_end.id, &prompt, took, now),
                     (true, false) => {}
-                    (false, apart) => {
-                        node.short_reading.observe(apart, took);
+                    (false, on_prefill_engine) => {
+                        node.short_prefill.observe(on_prefill_engine, took);
                         node.index.waited(took, now);
                     }
                 }
-                self.note_outcome(arrived, Some(Duration::from_micros(self.now - arrived)));
+                self.record_outcome(arrived, Some(Duration::from_micros(self.now - arrived)));
             }
         }
     }
 
-    /// A prompt that was read goes to the engine that answers, with its KV cache.
-    fn hand_over(&mut self, mut caller: Caller, trouble: Trouble) {
+    /// Sends a request to a decode engine after its prefill, with its KV cache.
+    fn send_to_decode_engine(&mut self, mut caller: Caller, faults: Faults) {
         let now = self.now();
         if let Some(reading) = caller.reading.take() {
             self.nodes[caller.node].index.end(reading, true, now);
         }
-        let engine = self.choose_answerer(caller.node).expect("there are engines");
-        let move_micros = f64::from(caller.prompt.tokens) * MOVE * trouble.moves_slower;
+        let engine = self.choose_decode_engine(caller.node).expect("there are engines");
+        let move_micros = f64::from(caller.prompt.tokens) * MOVE_MILLIS * faults.move_slowdown;
         caller.was_moved = true;
         caller.sent = self.now;
         caller.ready = self.now + move_micros as u64;
         self.engines[engine].take_in(caller);
     }
 
-    fn choose_reader(&mut self, node: usize, prompt: &Prompt) -> Option<usize> {
+    fn choose_engine_for_prefill(&mut self, node: usize, prompt: &Prompt) -> Option<usize> {
         let (now, in_time) = (self.now(), self.config.in_time(TARGET, Duration::ZERO));
         self.choose(node, |index| Purpose::Prefill { prompt, in_time, index, now })
     }
 
-    fn choose_answerer(&mut self, node: usize) -> Option<usize> {
+    fn choose_decode_engine(&mut self, node: usize) -> Option<usize> {
         let now = self.now();
         self.choose(node, |index| Purpose::Decode { near: None, index, now })
     }
 
-    /// The engine that a node chooses. It knows its own requests there, and of others' what they read.
+    /// The engine that a node chooses. The node knows its own requests at each engine, and the announced prefills of others.
     fn choose<'w>(&'w mut self, node: usize, purpose: impl FnOnce(&'w PromptIndex) -> Purpose<'w>) -> Option<usize> {
         let candidate = |engine: &'w Engine| Candidate {
             back_end: &engine.back_end,
@@ -285,7 +287,7 @@
         place(&candidates, &purpose, &self.config, |_| false, &mut self.random).map(|placed| placed.index)
     }
 
-    fn note_outcome(&mut self, arrived: u64, first_event: Option<Duration>) {
+    fn record_outcome(&mut self, arrived: u64, first_event: Option<Duration>) {
         self.outcomes.push(Outcome { arrived: Timestamp::from_micros(arrived), first_event });
     }
 }
