--- a/crates/core/src/relay/blame.rs
+++ b/crates/core/src/relay/attribution.rs
@@ -25,7 +25,7 @@
     /// The request.
     pub content: ContentId,
     /// The ends that count against it, also those that are put down to another one as well.
-    pub ends: usize,
+    pub terminations: usize,
     /// The last of them.
     pub last: Timestamp,
 }
@@ -45,7 +45,7 @@
 /// The one with most ends goes first, and what is put down to it counts no more for the rest. Where two have equally many,
 /// and the ends of one would leave too few for the other, nobody can tell which it was: neither is blamed, since the next end
 /// tells, until there are twice as many as it takes.
-pub fn blame(ends: &[EngineTermination], rules: &AttributionRules) -> Vec<Attribution> {
+pub fn attribute_terminations(ends: &[EngineTermination], rules: &AttributionRules) -> Vec<Attribution> {
     let weigh = |content: &ContentId, indices: &BTreeSet<usize>| weight(ends, *content, indices, rules.one_moment);
     let all = ends_by_content(ends);
     let mut open = all.clone();
@@ -63,7 +63,7 @@
             };
             if most >= 2 * rules.least || leaders.iter().all(leaves_enough) {
                 let last = indices.iter().map(|index| ends[*index].at).max().unwrap_or_default();
-                blamed.push(Attribution { content: *content, ends: weigh(content, &all[content]), last });
+                blamed.push(Attribution { content: *content, terminations: weigh(content, &all[content]), last });
                 open.values_mut().for_each(|open| *open = &*open - indices);
             }
         }
--- a/crates/core/src/relay/content.rs
+++ b/crates/core/src/relay/content.rs
@@ -29,14 +29,14 @@
 
 /// {0:?} is no content's name
 #[derive(Clone, Debug, displaydoc::Display, PartialEq, Eq, thiserror::Error)]
-pub struct NoContentId(pub String);
+pub struct InvalidContentId(pub String);
 
 impl FromStr for ContentId {
-    type Err = NoContentId;
+    type Err = InvalidContentId;
 
     /// Reads the name as it is displayed.
-    fn from_str(text: &str) -> Result<Self, NoContentId> {
-        u64::from_str_radix(text, 16).map(ContentId).map_err(|_| NoContentId(text.to_owned()))
+    fn from_str(text: &str) -> Result<Self, InvalidContentId> {
+        u64::from_str_radix(text, 16).map(ContentId).map_err(|_| InvalidContentId(text.to_owned()))
     }
 }
 
--- a/crates/core/src/relay/engine_cache.rs
+++ b/crates/core/src/relay/engine_cache.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
+use super::peer_notice::AnnouncedPart;
 use super::prompt::PromptPart;
-use super::readings_message::AnnouncedPart;
 use crate::time::Timestamp;
 
 /// The prompt parts that an engine caches. Engines evict the least recently used part first, so a part is cached until
--- a/crates/core/src/relay/engine_ends.rs
+++ b/crates/core/src/relay/engine_terminations.rs
@@ -10,10 +10,10 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use super::blame::{Attribution, AttributionRules, EngineTermination, blame};
+use super::attribution::{Attribution, AttributionRules, EngineTermination, attribute_terminations};
 use super::content::ContentId;
-use super::ends_message::{ReportedRun, ReportedTermination, ServedContent, TerminationNotice};
 use super::engine_tag::EngineTag;
+use super::termination_notice::{AnsweredContent, ReportedRun, ReportedTermination, TerminationNotice};
 use crate::time::{Timestamp, doubled};
 use crate::world::Address;
 
@@ -117,7 +117,7 @@
     }
 
     /// Notes that `engine` ended at `at` while it did `runs` for this node. Returns the requests that are blocked from now on.
-    pub fn note_ended(&mut self, engine: EngineTag, runs: &[TerminatedRun], at: Timestamp) -> Vec<Attribution> {
+    pub fn record_termination(&mut self, engine: EngineTag, runs: &[TerminatedRun], at: Timestamp) -> Vec<Attribution> {
         let tells = self.config.tells;
         for run in runs {
             self.untold.push_back(Untold { news: News::Ended { engine, run: *run, at }, tells });
@@ -129,7 +129,7 @@
 
     /// Takes in what a peer tells. Returns the requests that are blocked from now on.
     pub fn receive(&mut self, notice: &TerminationNotice, now: Timestamp) -> Vec<Attribution> {
-        for end in &notice.ends {
+        for end in &notice.terminations {
             let at = now - Duration::from_micros(end.age_micros);
             let run = |told: &ReportedRun| TerminatedRun {
                 content: told.content,
@@ -139,7 +139,7 @@
             self.tell_cleared_again(&runs, at);
             self.insert(end.engine, at, &runs);
         }
-        for served in &notice.served {
+        for served in &notice.answered {
             let served_at = now - Duration::from_micros(served.age_micros);
             if self.clear(served.content, served_at) {
                 self.remember_cleared(served.content, served_at);
@@ -151,7 +151,7 @@
     /// Notes that a request was answered whole: it doesn't end its engines, so it only ran beside one that does, or on engines
     /// that ended for another reason. Returns the requests that are blocked from now on, since the ends are now put down to them;
     /// `None` when no engine had ended under it.
-    pub fn note_served(&mut self, content: ContentId, now: Timestamp) -> Option<Vec<Attribution>> {
+    pub fn record_answered(&mut self, content: ContentId, now: Timestamp) -> Option<Vec<Attribution>> {
         if !self.clear(content, now) {
             return None;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Whether engines' ends are put down to a request, also when its block has lapsed.
-    pub fn is_blamed(&self, content: ContentId) -> bool {
+    pub fn is_attributed(&self, content: ContentId) -> bool {
         self.blamed.contains_key(&content)
     }
 
@@ -177,19 +177,19 @@
     }
 
     /// The requests that are blocked at `now`.
-    pub fn blocked(&self, now: Timestamp) -> usize {
+    pub fn blocked_count(&self, now: Timestamp) -> usize {
         self.blamed.values().filter(|blamed| now < self.block_end(blamed)).count()
     }
 
     /// What peers are to be told next; `None` when there is nothing.
     pub fn notice(&mut self, sender: Address, now: Timestamp) -> Option<TerminationNotice> {
-        let mut notice = TerminationNotice { sender, ends: Vec::new(), served: Vec::new() };
+        let mut notice = TerminationNotice { sender, terminations: Vec::new(), answered: Vec::new() };
         let told = self.untold.len().min(self.config.told_maximum);
         for untold in self.untold.drain(..told).collect::<Vec<_>>() {
             match untold.news {
-                News::Ended { engine, run, at } => add_run(&mut notice.ends, engine, run, at, now),
+                News::Ended { engine, run, at } => add_run(&mut notice.terminations, engine, run, at, now),
                 News::Served { content, at } => {
-                    notice.served.push(ServedContent { content, age_micros: age(at, now) });
+                    notice.answered.push(AnsweredContent { content, age_micros: age(at, now) });
                 }
             }
             if untold.tells > 1 {
@@ -200,7 +200,7 @@
     }
 
     /// The ends that a request is blamed for, to be kept where they outlast all nodes; `None` when it isn't blamed.
-    pub fn blamed_ends(&self, content: ContentId, now: Timestamp) -> Option<Vec<ReportedTermination>> {
+    pub fn attributed_terminations(&self, content: ContentId, now: Timestamp) -> Option<Vec<ReportedTermination>> {
         self.blamed.get(&content)?;
         let mut ends = Vec::new();
         self.add_ends_of(content, self.config.told_maximum, now, &mut ends);
@@ -208,13 +208,13 @@
     }
 
     /// Whether peers are still to be told of something.
-    pub fn has_untold(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.untold.is_empty()
     }
 
     /// The requests that are blamed, and the ends that they are blamed for, for a node that has just started or was out of reach:
     /// as many as one notice tells, those with the last ends first.
-    pub fn known_blame(&self, sender: Address, now: Timestamp) -> Option<TerminationNotice> {
+    pub fn attribution_notice(&self, sender: Address, now: Timestamp) -> Option<TerminationNotice> {
         let mut blamed: Vec<&Attribution> = self.blamed.values().collect();
         blamed.sort_by_key(|blamed| std::cmp::Reverse(blamed.last));
         let mut ends = Vec::new();
@@ -222,7 +222,7 @@
         for Attribution { content, .. } in blamed {
             left -= self.add_ends_of(*content, left, now, &mut ends);
         }
-        (!ends.is_empty()).then(|| TerminationNotice { sender, ends, served: Vec::new() })
+        (!ends.is_empty()).then(|| TerminationNotice { sender, terminations: ends, answered: Vec::new() })
     }
 
     /// Adds up to `most` ends under a request to `told`; returns how many there were.
@@ -349,7 +349,7 @@
         } else {
             Vec::new()
         };
-        let blamed = blame(&ends, &self.config.rules);
+        let blamed = attribute_terminations(&ends, &self.config.rules);
         let blamed = blamed.into_iter().map(|blamed| (blamed.content, blamed)).collect();
         let before = std::mem::replace(&mut self.blamed, blamed);
         self.blamed.values().filter(|blamed| !before.contains_key(&blamed.content)).copied().collect()
@@ -371,7 +371,7 @@
     }
 
     fn block_end(&self, blamed: &Attribution) -> Timestamp {
-        let further = u32::try_from(blamed.ends.saturating_sub(self.config.rules.least)).unwrap_or(u32::MAX);
+        let further = u32::try_from(blamed.terminations.saturating_sub(self.config.rules.least)).unwrap_or(u32::MAX);
         blamed.last + doubled(self.config.first_block, further, self.config.longest_block)
     }
 
--- a/crates/core/src/relay/open_readings.rs
+++ b/crates/core/src/relay/open_prefills.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::engine_tag::EngineTag;
+use super::peer_notice::OpenPrefills;
 use super::prompt::PromptPart;
-use super::readings_message::OpenPrefills;
 use super::urgency::Urgency;
 use crate::back_ends::EngineStage;
 use crate::time::Timestamp;
--- a/crates/core/src/relay/readings_message.rs
+++ b/crates/core/src/relay/peer_notice.rs
@@ -2,10 +2,10 @@
 
 use speedy::{Readable, Writable};
 
-use super::ends_message::TerminationNotice;
 use super::engine_tag::EngineTag;
 use super::prompt::PromptPart;
 use super::suspicions::UnreachableNotice;
+use super::termination_notice::TerminationNotice;
 use crate::back_ends::{DrainNotice, LimitNotice};
 use crate::world::{Address, BackEndId};
 
@@ -13,20 +13,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum PeerNotice {
     /// What the sender reads now and has just read.
-    Notice(PrefillNotice),
+    Prefills(PrefillNotice),
     /// The sender has just started and asks what engines keep.
-    AskKept {
+    RequestCachedParts {
         /// Where the sender takes the answers.
         sender: Address,
     },
     /// What one engine keeps, for a node that asked.
-    Kept(CachedParts),
+    CachedParts(CachedParts),
     /// Back ends that the sender could not reach.
     Unreachable(UnreachableNotice),
     /// Engines that ended while they ran requests for the sender.
-    Ends(TerminationNotice),
+    Terminations(TerminationNotice),
     /// Back ends that said that they leave.
-    Leaving(DrainNotice),
+    Drains(DrainNotice),
     /// What back ends in need take.
     Limits(LimitNotice),
 }
--- a/crates/core/src/relay/placement.rs
+++ b/crates/core/src/relay/placement.rs
@@ -224,7 +224,7 @@
     /// The tokens of the prompt that the engine has cached; 0 when affinity is switched off.
     fn cached(&self, index: usize) -> u32 {
         if self.config.affinity {
-            self.index.kept_tokens_of(&self.candidates[index].back_end.id, self.prompt)
+            self.index.cached_tokens_of(&self.candidates[index].back_end.id, self.prompt)
         } else {
             0
         }
--- a/crates/core/src/relay/prompt_index.rs
+++ b/crates/core/src/relay/prompt_index.rs
@@ -7,9 +7,9 @@
 use super::engine_cache::EngineCache;
 use super::engine_model::EngineModel;
 use super::engine_tag::EngineTag;
-use super::open_readings::{LocalPrefill, OpenTable, PrefillId};
+use super::open_prefills::{LocalPrefill, OpenTable, PrefillId};
+use super::peer_notice::{CachedParts, FinishedPrefill, PrefillNotice};
 use super::prompt::{Prompt, PromptPart};
-use super::readings_message::{CachedParts, FinishedPrefill, PrefillNotice};
 use super::urgency::Urgency;
 use crate::back_ends::{BackEnd, EngineStage};
 use crate::time::Timestamp;
@@ -110,7 +110,7 @@
         let is_idle = |stage: &EngineStage| self.backlog(&engine.id, *stage, Urgency::Late, now) <= 0.0;
         let reading = LocalPrefill {
             engine: (&engine.id).into(),
-            tokens: prompt.tokens.saturating_sub(self.kept_tokens_of(&engine.id, prompt)),
+            tokens: prompt.tokens.saturating_sub(self.cached_tokens_of(&engine.id, prompt)),
             urgency,
             began: now,
             alone_at: engine.stage.filter(is_idle),
@@ -134,13 +134,13 @@
 
     /// Notes that `engine` has got the KV cache of `prompt` from another one, and keeps its shared parts from now on. It
     /// began its answer `took` after it was sent there.
-    pub fn moved(&mut self, engine: &BackEndId, prompt: &Prompt, took: Duration, now: Timestamp) {
+    pub fn record_move(&mut self, engine: &BackEndId, prompt: &Prompt, took: Duration, now: Timestamp) {
         self.model.observe_move(prompt.tokens, took, now);
         self.finish(engine.into(), prompt.shared_parts().to_vec(), prompt.tokens, now);
     }
 
     /// Notes that an engine began an answer `took` after it was sent there, for which no long prompt was moved or read.
-    pub fn waited(&mut self, took: Duration, now: Timestamp) {
+    pub fn record_wait(&mut self, took: Duration, now: Timestamp) {
         self.model.observe_wait(took, now);
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Whether finished readings wait to be told (again).
-    pub fn has_untold(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.untold.is_empty()
     }
 
@@ -212,7 +212,7 @@
 
     /// What a node that has just started is told: for each engine of `engines` the parts that it is believed to keep,
     /// those used last first, so many at most.
-    pub fn kept_parts<'e>(
+    pub fn cached_parts<'e>(
         &'e self,
         engines: impl Iterator<Item = &'e BackEndId> + 'e,
         parts_maximum: usize,
@@ -224,12 +224,12 @@
     }
 
     /// Whether anything is known of what engines keep.
-    pub fn knows_kept(&self) -> bool {
+    pub fn knows_cached_parts(&self) -> bool {
         !self.kept.is_empty()
     }
 
     /// Takes in what a peer believes that an engine keeps; parts that this node knows of stay as they are.
-    pub fn adopt_kept(&mut self, told: CachedParts, now: Timestamp) {
+    pub fn merge_cached_parts(&mut self, told: CachedParts, now: Timestamp) {
         self.kept.entry((&told.engine).into()).or_default().adopt(told.parts, now);
     }
 
@@ -253,20 +253,20 @@
     }
 
     /// The tokens of `prompt` that `engine` keeps.
-    pub fn kept_tokens_of(&self, engine: &BackEndId, prompt: &Prompt) -> u32 {
+    pub fn cached_tokens_of(&self, engine: &BackEndId, prompt: &Prompt) -> u32 {
         let cache = self.kept.get(&engine.into());
         cache.map_or(0, |cache| cache.cached_tokens_of(prompt.shared_parts(), self.room()))
     }
 
     /// The engine among `others` that keeps more of the start of `prompt` than `reader` does: the one that keeps most, and
     /// of those the one that used it last.
-    pub fn keeper<'b>(
+    pub fn cache_peer<'b>(
         &self,
         reader: &BackEndId,
         prompt: &Prompt,
         others: impl Iterator<Item = &'b BackEnd>,
     ) -> Option<&'b BackEnd> {
-        let own = self.kept_tokens_of(reader, prompt);
+        let own = self.cached_tokens_of(reader, prompt);
         let keepers = others.filter_map(|other| {
             let cache = self.kept.get(&(&other.id).into())?;
             let kept = cache.cached_tokens_of(prompt.shared_parts(), self.room());
@@ -292,7 +292,7 @@
     }
 
     /// The tokens of all parts that `engine` is believed to keep.
-    pub fn kept_tokens(&self, engine: &BackEndId) -> u64 {
+    pub fn cached_tokens(&self, engine: &BackEndId) -> u64 {
         self.kept.get(&engine.into()).map_or(0, EngineCache::tokens)
     }
 }
--- a/crates/core/src/relay/ends_message.rs
+++ b/crates/core/src/relay/termination_notice.rs
@@ -12,9 +12,9 @@
     /// Where the sender takes notices; names it.
     pub sender: Address,
     /// Engines that ended.
-    pub ends: Vec<ReportedTermination>,
+    pub terminations: Vec<ReportedTermination>,
     /// Requests that were answered whole since an engine ended under them.
-    pub served: Vec<ServedContent>,
+    pub answered: Vec<AnsweredContent>,
 }
 
 /// An engine that ended while it ran requests for the sender.
@@ -39,7 +39,7 @@
 
 /// A request that was answered whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ServedContent {
+pub struct AnsweredContent {
     /// The request.
     pub content: ContentId,
     /// How long ago, in microseconds: whether a request was sent before or after an end is a matter of a few.
--- a/crates/core/tests/back_end_lives.rs
+++ b/crates/core/tests/back_end_lives.rs
@@ -171,12 +171,12 @@
     let prefill = index.begin(&incarnation(100), &prompt(), Urgency::InTime, START);
     index.end(prefill, true, START);
     index.begin(&incarnation(100), &prompt(), Urgency::InTime, START);
-    assert!(index.kept_tokens_of(&incarnation(100).id, &prompt()) > 0);
-    assert_eq!(index.kept_tokens_of(&incarnation(200).id, &prompt()), 0);
+    assert!(index.cached_tokens_of(&incarnation(100).id, &prompt()) > 0);
+    assert_eq!(index.cached_tokens_of(&incarnation(200).id, &prompt()), 0);
     assert!(index.backlog(&incarnation(100).id, EngineStage::Prefill, Urgency::InTime, START) > 0.0);
     assert_eq!(index.backlog(&incarnation(200).id, EngineStage::Prefill, Urgency::InTime, START), 0.0);
     index.retain_engines([&incarnation(200).id].into_iter(), START + Duration::from_secs(60));
-    assert_eq!(index.kept_tokens_of(&incarnation(100).id, &prompt()), 0);
+    assert_eq!(index.cached_tokens_of(&incarnation(100).id, &prompt()), 0);
 }
 
 #[test]
--- a/crates/core/tests/back_end_notices.rs
+++ b/crates/core/tests/back_end_notices.rs
@@ -270,6 +270,6 @@
     });
     let newest = notices.newest(after(20));
     assert_eq!((newest.len(), &newest[0].back_end), (DrainNotice::BACK_ENDS_MAXIMUM, &id(19)));
-    let bytes = PeerNotice::Leaving(notice(newest)).write_to_vec().expect("it can be encoded");
+    let bytes = PeerNotice::Drains(notice(newest)).write_to_vec().expect("it can be encoded");
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
 }
--- a/crates/core/tests/relay_engine_ends.rs
+++ b/crates/core/tests/relay_engine_ends.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use havengate_core::relay::{
-    Attribution, AttributionRules, ContentId, EngineTag, EngineTermination, EngineTerminations,
-    EngineTerminationsConfig, ReportedRun, ReportedTermination, ServedContent, TerminatedRun, TerminationNotice, blame,
+    AnsweredContent, Attribution, AttributionRules, ContentId, EngineTag, EngineTermination, EngineTerminations,
+    EngineTerminationsConfig, ReportedRun, ReportedTermination, TerminatedRun, TerminationNotice,
+    attribute_terminations,
 };
 use havengate_core::time::Timestamp;
 use havengate_core::world::{Address, BackEndId};
@@ -39,7 +40,7 @@
 fn ended(sender: u8, engine: EngineTag, age_millis: u64, contents: &[ContentId]) -> TerminationNotice {
     let runs = contents.iter().map(|content| ReportedRun { content: *content, ran_micros: RAN.as_micros() as u32 });
     let end = ReportedTermination { engine, age_micros: age_millis * 1_000, runs: runs.collect() };
-    TerminationNotice { sender: node(sender), ends: vec![end], served: Vec::new() }
+    TerminationNotice { sender: node(sender), terminations: vec![end], answered: Vec::new() }
 }
 
 fn runs(contents: &[ContentId], at: Timestamp) -> Vec<TerminatedRun> {
@@ -48,7 +49,7 @@
 
 /// Ends an engine that ran `contents` for this node.
 fn end(ends: &mut EngineTerminations, engine: EngineTag, contents: &[ContentId], at: Timestamp) -> Vec<Attribution> {
-    ends.note_ended(engine, &runs(contents, at), at)
+    ends.record_termination(engine, &runs(contents, at), at)
 }
 
 /// Ends one engine after the other, a second apart, each while it runs what `ran` says of it. Returns the time of the last.
@@ -77,7 +78,7 @@
     let second = end_in_turn(&mut ends, &[&["culprit"], &["culprit"]]);
     assert!(!is_blocked(&ends, "culprit", second));
     let blamed = end(&mut ends, engine(2), &[content("culprit")], second + SECOND);
-    assert_eq!(blamed.iter().map(|blamed| blamed.ends).collect::<Vec<_>>(), [3]);
+    assert_eq!(blamed.iter().map(|blamed| blamed.terminations).collect::<Vec<_>>(), [3]);
     assert!(is_blocked(&ends, "culprit", second + SECOND));
     assert!(!is_blocked(&ends, "another", second + SECOND));
 }
@@ -145,7 +146,7 @@
     let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["culprit", "beside"][..]; 3]);
     assert!(!is_blocked(&ends, "culprit", last));
-    let blamed = ends.note_served(content("beside"), last).expect("it was a suspect");
+    let blamed = ends.record_answered(content("beside"), last).expect("it was a suspect");
     assert_eq!(blamed.iter().map(|blamed| blamed.content).collect::<Vec<_>>(), [content("culprit")]);
     assert!(is_blocked(&ends, "culprit", last));
     assert!(!ends.is_suspect(content("beside")));
@@ -196,8 +197,8 @@
     }
     let served_at = NOW + 3 * SECOND;
     while here.notice(node(1), served_at).is_some() {}
-    assert!(here.note_served(content("asked by many"), served_at).is_some());
-    assert!(here.note_served(content("asked by many"), served_at).is_none(), "there is nothing left to clear");
+    assert!(here.record_answered(content("asked by many"), served_at).is_some());
+    assert!(here.record_answered(content("asked by many"), served_at).is_none(), "there is nothing left to clear");
     there.receive(&here.notice(node(1), served_at).expect("peers are told"), served_at);
     for ends in [&mut here, &mut there] {
         assert!(!ends.is_suspect(content("asked by many")));
@@ -212,10 +213,10 @@
     let last = end_in_turn(&mut here, &[&["popular"][..]; 2]);
     end_in_turn(&mut there, &[&["popular"][..]; 3]);
     let now = last + 2 * SECOND;
-    here.note_served(content("popular"), now);
+    here.record_answered(content("popular"), now);
     while here.notice(node(1), now).is_some() {}
     let later = now + SECOND;
-    here.receive(&there.known_blame(node(2), later).expect("it is blamed there"), later);
+    here.receive(&there.attribution_notice(node(2), later).expect("it is blamed there"), later);
     assert!(!here.is_suspect(content("popular")));
     there.receive(&here.notice(node(1), later).expect("the peer is told again"), later);
     assert!(!there.is_suspect(content("popular")));
@@ -225,8 +226,8 @@
 fn an_answer_does_not_clear_ends_that_came_after_it() {
     let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["culprit"][..]; 3]);
-    let served = ServedContent { content: content("culprit"), age_micros: 1_500_000 };
-    ends.receive(&TerminationNotice { sender: node(1), ends: Vec::new(), served: vec![served] }, last);
+    let served = AnsweredContent { content: content("culprit"), age_micros: 1_500_000 };
+    ends.receive(&TerminationNotice { sender: node(1), terminations: Vec::new(), answered: vec![served] }, last);
     assert!(ends.is_suspect(content("culprit")));
     assert!(!is_blocked(&ends, "culprit", last), "one end is left");
 }
@@ -255,12 +256,12 @@
 fn a_node_that_has_just_started_learns_what_is_blocked() {
     let mut ends = EngineTerminations::default();
     let last = end_in_turn(&mut ends, &[&["culprit", "beside"], &["culprit"], &["culprit", "beside"]]);
-    assert!(ends.known_blame(node(1), NOW).is_some());
+    assert!(ends.attribution_notice(node(1), NOW).is_some());
     let mut started = EngineTerminations::default();
-    started.receive(&ends.known_blame(node(1), last).expect("something is blamed"), last);
+    started.receive(&ends.attribution_notice(node(1), last).expect("something is blamed"), last);
     assert_eq!(started.blocked_until(content("culprit"), last), ends.blocked_until(content("culprit"), last));
     assert!(!started.is_suspect(content("beside")));
-    assert!(EngineTerminations::default().known_blame(node(1), NOW).is_none());
+    assert!(EngineTerminations::default().attribution_notice(node(1), NOW).is_none());
 }
 
 #[test]
@@ -273,7 +274,7 @@
     while let Some(notice) = ends.notice(node(1), NOW) {
         let bytes = notice.write_to_vec().expect("a notice can be written").len();
         assert!(bytes <= 1_400 - 8, "with the kind of the message before it: {bytes}");
-        told += notice.ends.iter().map(|end| end.runs.len()).sum::<usize>();
+        told += notice.terminations.iter().map(|end| end.runs.len()).sum::<usize>();
         notices += 1;
         assert!(notices < 100);
     }
@@ -297,7 +298,7 @@
                 1 => drop(ends.receive(&ended(1, engine(number), 5, &names), now)),
                 2 => names
                     .iter()
-                    .for_each(|name| assert!(ends.note_served(*name, now).is_none() || !ends.is_suspect(*name))),
+                    .for_each(|name| assert!(ends.record_answered(*name, now).is_none() || !ends.is_suspect(*name))),
                 _ => drop(ends.notice(node(1), now)),
             }
             assert!(ends.len() <= 20);
@@ -314,7 +315,7 @@
         }
         ends.tidy(now + config.kept);
         assert!(ends.is_empty());
-        assert_eq!(ends.blocked(now), 0);
+        assert_eq!(ends.blocked_count(now), 0);
         Ok(())
     })
     .seed(7 << 32 | 4_096);
@@ -327,7 +328,7 @@
     for number in 0..3 {
         let sent_at = NOW + millis(2 * number);
         let run = TerminatedRun { content: content("culprit"), sent_at };
-        ends.note_ended(engine(number as usize), &[run], sent_at + millis(1));
+        ends.record_termination(engine(number as usize), &[run], sent_at + millis(1));
     }
     assert!(is_blocked(&ends, "culprit", NOW + SECOND), "each run was sent after the end before");
 }
@@ -347,7 +348,8 @@
             })
             .collect();
         let always_there = |name: &&ContentId| ends.iter().all(|end| end.runs.contains_key(name));
-        let blamed: Vec<ContentId> = blame(&ends, &rules).iter().map(|blamed| blamed.content).collect();
+        let blamed: Vec<ContentId> =
+            attribute_terminations(&ends, &rules).iter().map(|blamed| blamed.content).collect();
         if ends[0].runs.keys().filter(always_there).count() == 1 {
             assert_eq!(blamed, [content("culprit")], "seed {seed}");
         }
--- a/crates/core/tests/relay_prompt_index.rs
+++ b/crates/core/tests/relay_prompt_index.rs
@@ -48,7 +48,7 @@
 
 /// The tokens that an engine has to read of the prompt.
 fn unread(index: &PromptIndex, number: u8) -> u32 {
-    prompt().tokens - index.kept_tokens_of(&engine(number), &prompt())
+    prompt().tokens - index.cached_tokens_of(&engine(number), &prompt())
 }
 
 fn backlog(index: &PromptIndex, number: u8, urgency: Urgency, now: Timestamp) -> f64 {
@@ -63,7 +63,7 @@
 fn keeper(index: &PromptIndex, reader: u8, usable: &[u8]) -> Option<u8> {
     let back_ends = back_ends();
     let others = back_ends.iter().filter(|back_end| usable.iter().any(|number| back_end.id == engine(*number)));
-    let found = index.keeper(&engine(reader), &prompt(), others)?;
+    let found = index.cache_peer(&engine(reader), &prompt(), others)?;
     (1..=3).find(|number| engine(*number) == found.id)
 }
 
@@ -85,7 +85,7 @@
     };
     let mut index = index();
     read(&mut index, 1, &chain(&[1, 2]), START);
-    let kept = |ids: &[u64]| index.kept_tokens_of(&engine(1), &chain(ids));
+    let kept = |ids: &[u64]| index.cached_tokens_of(&engine(1), &chain(ids));
     assert_eq!(kept(&[1, 2]), 4_000);
     assert_eq!(kept(&[1, 3]), 2_000, "the common start is kept");
     assert_eq!(kept(&[1, 2, 3]), 4_000);
@@ -121,10 +121,10 @@
     let (mut here, mut there) = (index(), index());
     read(&mut here, 1, &prompt(), START);
     let _lost = here.notice(address(1), 1, START);
-    assert!(here.has_untold());
+    assert!(here.has_pending());
     there.receive(here.notice(address(1), 2, START), START);
     assert_eq!(unread(&there, 1), 3_000);
-    assert!(!here.has_untold(), "not for ever");
+    assert!(!here.has_pending(), "not for ever");
 }
 
 #[test]
@@ -188,7 +188,7 @@
 #[test]
 fn a_moved_cache_is_kept_at_its_new_engine_too() {
     let (mut here, mut there) = (index(), index());
-    here.moved(&engine(2), &prompt(), Duration::from_millis(15), START);
+    here.record_move(&engine(2), &prompt(), Duration::from_millis(15), START);
     there.receive(here.notice(address(1), 1, START), START);
     for index in [&here, &there] {
         assert_eq!(unread(index, 2), 3_000);
@@ -228,7 +228,7 @@
         }
     }
     let mut sequence = 0;
-    while here.has_untold() {
+    while here.has_pending() {
         sequence += 1;
         assert!(sequence < 100, "the list comes to its end");
         let notice = here.notice(address(1), sequence, START);
@@ -236,8 +236,8 @@
         assert!(bytes <= PromptIndexConfig::default().notice_bytes, "{bytes} bytes");
         there.receive(notice, START);
     }
-    let heard = (0..200).filter(|id| there.kept_tokens_of(&engine((id % 3) as u8), &prompt_of(*id)) > 0).count();
-    let known = (0..200).filter(|id| here.kept_tokens_of(&engine((id % 3) as u8), &prompt_of(*id)) > 0).count();
+    let heard = (0..200).filter(|id| there.cached_tokens_of(&engine((id % 3) as u8), &prompt_of(*id)) > 0).count();
+    let known = (0..200).filter(|id| here.cached_tokens_of(&engine((id % 3) as u8), &prompt_of(*id)) > 0).count();
     assert_eq!(heard, known, "each finished reading is heard of");
 }
 
@@ -265,9 +265,9 @@
         let now = START + Duration::from_secs(id);
         read(&mut index, 1, &prompt_of(id), now);
     }
-    assert!(index.kept_tokens(&engine(1)) <= 40_000);
-    assert_eq!(index.kept_tokens_of(&engine(1), &prompt_of(5)), 12_000);
-    assert_eq!(index.kept_tokens_of(&engine(1), &prompt_of(1)), 0);
+    assert!(index.cached_tokens(&engine(1)) <= 40_000);
+    assert_eq!(index.cached_tokens_of(&engine(1), &prompt_of(5)), 12_000);
+    assert_eq!(index.cached_tokens_of(&engine(1), &prompt_of(1)), 0);
 }
 
 #[test]
@@ -291,17 +291,17 @@
     }
     let mut there = index();
     let engines = [engine(1)];
-    here.kept_parts(engines.iter(), 50).for_each(|kept| there.adopt_kept(kept, START));
-    assert_eq!(there.kept_tokens(&engine(1)), here.kept_tokens(&engine(1)));
+    here.cached_parts(engines.iter(), 50).for_each(|kept| there.merge_cached_parts(kept, START));
+    assert_eq!(there.cached_tokens(&engine(1)), here.cached_tokens(&engine(1)));
     assert_eq!(unread(&there, 1), unread(&here, 1));
-    let told: Vec<_> = here.kept_parts(engines.iter(), 50).collect();
-    assert_eq!(there.kept_parts(engines.iter(), 50).collect::<Vec<_>>(), told, "it can tell the next one the same");
+    let told: Vec<_> = here.cached_parts(engines.iter(), 50).collect();
+    assert_eq!(there.cached_parts(engines.iter(), 50).collect::<Vec<_>>(), told, "it can tell the next one the same");
     // Told once more, or by another peer: nothing is brought in twice, and what is known here stays.
-    told.into_iter().for_each(|kept| there.adopt_kept(kept, START));
+    told.into_iter().for_each(|kept| there.merge_cached_parts(kept, START));
     assert_eq!(
-        there.kept_parts(engines.iter(), 50).collect::<Vec<_>>(),
-        here.kept_parts(engines.iter(), 50).collect::<Vec<_>>()
+        there.cached_parts(engines.iter(), 50).collect::<Vec<_>>(),
+        here.cached_parts(engines.iter(), 50).collect::<Vec<_>>()
     );
-    let newest_only: Vec<_> = here.kept_parts(engines.iter(), 1).collect();
+    let newest_only: Vec<_> = here.cached_parts(engines.iter(), 1).collect();
     assert_eq!(newest_only[0].parts[0].part.id, 9, "those used last come first");
 }
--- a/crates/relay/src/callers/send_step.rs
+++ b/crates/relay/src/callers/send_step.rs
@@ -89,7 +89,7 @@
         .filter(|entry| notices.usability(entry, now) == Usability::Usable)
         .filter(|entry| traffic.loads.admits(&entry.back_end.id, now));
     let others = usable.map(|entry| &entry.back_end);
-    traffic.peer_notices.with_index(|index| index.keeper(&back_end.id, prompt, others).map(|peer| peer.address))
+    traffic.peer_notices.with_index(|index| index.cache_peer(&back_end.id, prompt, others).map(|peer| peer.address))
 }
 
 /// The urgency of the request at `back_end`; `None` for applications, which don't order requests by urgency.
--- a/crates/relay/src/control/block_keeper.rs
+++ b/crates/relay/src/control/block_keeper.rs
@@ -178,7 +178,11 @@
     let age_micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
     let aged =
         |end: ReportedTermination| ReportedTermination { age_micros: end.age_micros.saturating_add(age_micros), ..end };
-    TerminationNotice { sender, ends: record.terminations.into_iter().map(aged).collect(), served: Vec::new() }
+    TerminationNotice {
+        sender,
+        terminations: record.terminations.into_iter().map(aged).collect(),
+        answered: Vec::new(),
+    }
 }
 
 /// The wall-clock time. A clock error of a few seconds lengthens or shortens a block by as much.
--- a/crates/relay/src/engine_ends.rs
+++ b/crates/relay/src/engine_ends.rs
@@ -56,7 +56,7 @@
         let age_ms = whole_millis(self.shared.clock.now().since(at));
         log::warn!(event = "engine_ended", back_end:% = back_end, runs = runs.len(), age_ms; "");
         self.record_own_requests(runs);
-        let attributions = self.shared.terminations.borrow_mut().note_ended(back_end.into(), runs, at);
+        let attributions = self.shared.terminations.borrow_mut().record_termination(back_end.into(), runs, at);
         self.record_attributions(&attributions, "own_run");
         self.shared.pending_updates.notify_one();
     }
@@ -75,8 +75,8 @@
 
     /// Records that a request was answered completely, and notifies peers if an engine had terminated while running it.
     pub fn record_served(&self, content: ContentId) {
-        let was_attributed = self.shared.terminations.borrow().is_blamed(content);
-        let served = self.shared.terminations.borrow_mut().note_served(content, self.shared.clock.now());
+        let was_attributed = self.shared.terminations.borrow().is_attributed(content);
+        let served = self.shared.terminations.borrow_mut().record_answered(content, self.shared.clock.now());
         if let Some(attributions) = served {
             if was_attributed {
                 self.send_to_store(BlockUpdate::Cleared(content));
@@ -96,7 +96,7 @@
     /// How long a request stays blocked because engines terminated while running it; `None` when it may be sent.
     pub fn blocked_for(&self, content: ContentId) -> Option<Duration> {
         let terminations = self.shared.terminations.borrow();
-        if !terminations.is_blamed(content) {
+        if !terminations.is_attributed(content) {
             // Nearly all requests end here, more than once each, so this path does not read the clock.
             return None;
         }
@@ -106,12 +106,12 @@
 
     /// How many requests are blocked now.
     pub fn blocked(&self) -> usize {
-        self.shared.terminations.borrow().blocked(self.shared.clock.now())
+        self.shared.terminations.borrow().blocked_count(self.shared.clock.now())
     }
 
     /// Whether updates are pending announcement to peers.
     pub fn has_unannounced(&self) -> bool {
-        self.shared.terminations.borrow().has_untold()
+        self.shared.terminations.borrow().has_pending()
     }
 
     /// Waits until updates are pending announcement to peers.
@@ -128,7 +128,7 @@
 
     /// The notice to a newly started node; `None` when no request has attributions.
     pub fn known_attributions(&self, sender: Address) -> Option<TerminationNotice> {
-        self.shared.terminations.borrow().known_blame(sender, self.shared.clock.now())
+        self.shared.terminations.borrow().attribution_notice(sender, self.shared.clock.now())
     }
 
     /// Removes what has expired.
@@ -161,13 +161,14 @@
     }
 
     fn record_attributions(&self, attributions: &[Attribution], source: &'static str) {
-        for Attribution { content, ends, last } in attributions {
+        for Attribution { content, terminations: ends, last } in attributions {
             let block_ms = self.blocked_for(*content).map_or(0, whole_millis);
             let last_end_age_ms = whole_millis(self.shared.clock.now().since(*last));
             log::warn!(event = "content_blocked", content:% = content, ends, last_end_age_ms, block_ms, source; "");
             self.shared.metrics.record_suspect("blocked");
             let is_own = self.shared.own_requests.borrow().contains(content);
-            let terminations = self.shared.terminations.borrow().blamed_ends(*content, self.shared.clock.now());
+            let terminations =
+                self.shared.terminations.borrow().attributed_terminations(*content, self.shared.clock.now());
             if let (true, Some(terminations)) = (is_own, terminations) {
                 self.send_to_store(BlockUpdate::Blocked { content: *content, terminations });
             }
--- a/crates/relay/src/peer_notices/announcements.rs
+++ b/crates/relay/src/peer_notices/announcements.rs
@@ -52,25 +52,25 @@
     pub(super) async fn receive(&self, message: PeerNotice) {
         let now = self.shared.clock.now();
         match message {
-            PeerNotice::Notice(PrefillNotice { sender, .. })
+            PeerNotice::Prefills(PrefillNotice { sender, .. })
             | PeerNotice::Unreachable(UnreachableNotice { sender, .. })
-            | PeerNotice::Ends(TerminationNotice { sender, .. })
-            | PeerNotice::Leaving(DrainNotice { sender, .. })
+            | PeerNotice::Terminations(TerminationNotice { sender, .. })
+            | PeerNotice::Drains(DrainNotice { sender, .. })
             | PeerNotice::Limits(LimitNotice { sender, .. })
                 if !self.shared.knowledge.load().peers.contains(&sender) =>
             {
                 self.shared.metrics.record_dropped_message("unknown_sender");
             }
-            PeerNotice::Notice(notice) => {
+            PeerNotice::Prefills(notice) => {
                 if !self.shared.index.borrow_mut().receive(notice, now) {
                     self.shared.metrics.record_dropped_message("overtaken");
                 }
             }
             PeerNotice::Unreachable(notice) => self.shared.suspicions.borrow_mut().receive(&notice, now),
-            PeerNotice::Ends(notice) => self.shared.engine_terminations.receive(&notice),
-            PeerNotice::Leaving(notice) => self.apply_drain_notice(&notice),
+            PeerNotice::Terminations(notice) => self.shared.engine_terminations.receive(&notice),
+            PeerNotice::Drains(notice) => self.apply_drain_notice(&notice),
             PeerNotice::Limits(notice) => self.apply_limit_notice(notice),
-            PeerNotice::AskKept { sender } => {
+            PeerNotice::RequestCachedParts { sender } => {
                 self.send_attributions(sender).await;
                 let draining = self.shared.notices.lock().newest(now);
                 self.send_drains(draining, &[sender]).await;
@@ -78,15 +78,15 @@
                 let knowledge = self.shared.knowledge.load_full();
                 let engines = knowledge.directory.entries().map(|entry| &entry.back_end.id);
                 let cached_by_engine: Vec<CachedParts> =
-                    self.shared.index.borrow().kept_parts(engines, ANNOUNCED_PARTS_MAXIMUM).collect();
+                    self.shared.index.borrow().cached_parts(engines, ANNOUNCED_PARTS_MAXIMUM).collect();
                 for cached in cached_by_engine {
-                    self.send(&PeerNotice::Kept(cached), NodeMessageKind::CachedParts, &[sender]).await;
+                    self.send(&PeerNotice::CachedParts(cached), NodeMessageKind::CachedParts, &[sender]).await;
                 }
             }
-            PeerNotice::Kept(cached) => {
+            PeerNotice::CachedParts(cached) => {
                 let (engine, parts) = (cached.engine.clone(), cached.parts.len());
                 log::debug!(event = "kept_parts_told", back_end:% = engine, parts; "");
-                self.shared.index.borrow_mut().adopt_kept(cached, now);
+                self.shared.index.borrow_mut().merge_cached_parts(cached, now);
             }
         }
     }
@@ -113,7 +113,7 @@
             self.shared.engine_terminations.wait_for_updates().await;
             if let Some(notice) = self.sender().and_then(|sender| self.shared.engine_terminations.notice(sender)) {
                 let peers = Arc::clone(&self.shared.knowledge.load().peers);
-                self.send(&PeerNotice::Ends(notice), NodeMessageKind::Terminations, &peers).await;
+                self.send(&PeerNotice::Terminations(notice), NodeMessageKind::Terminations, &peers).await;
             }
             sleep(TERMINATIONS_PAUSE).await;
         }
@@ -142,7 +142,7 @@
     async fn send_attributions(&self, receiver: Address) {
         let notice = self.sender().and_then(|sender| self.shared.engine_terminations.known_attributions(sender));
         if let Some(notice) = notice {
-            self.send(&PeerNotice::Ends(notice), NodeMessageKind::Terminations, &[receiver]).await;
+            self.send(&PeerNotice::Terminations(notice), NodeMessageKind::Terminations, &[receiver]).await;
         }
     }
 
@@ -181,7 +181,7 @@
 
     async fn send_drains(&self, back_ends: Vec<DrainingBackEnd>, receivers: &[Address]) {
         if let Some(sender) = self.sender().filter(|_| !back_ends.is_empty()) {
-            let notice = PeerNotice::Leaving(DrainNotice { sender, back_ends });
+            let notice = PeerNotice::Drains(DrainNotice { sender, back_ends });
             self.send(&notice, NodeMessageKind::Draining, receivers).await;
         }
     }
@@ -191,7 +191,7 @@
     pub(super) async fn announce_prefills(self, config: AnnouncementPaceConfig) {
         let mut pace = AnnouncementPace::new(config, self.shared.clock.now());
         loop {
-            while !self.shared.has_pending_changes.get() && !self.shared.index.borrow().has_untold() {
+            while !self.shared.has_pending_changes.get() && !self.shared.index.borrow().has_pending() {
                 self.shared.prefill_changes.notified().await;
             }
             let wait = pace.wait(self.shared.clock.now());
@@ -201,7 +201,7 @@
             let sent = self.send_prefills().await;
             pace.spend(sent, self.shared.clock.now());
             // The repeated announcement, which guards against loss, is sent with later changes or after a pause.
-            if !self.shared.has_pending_changes.get() && self.shared.index.borrow().has_untold() {
+            if !self.shared.has_pending_changes.get() && self.shared.index.borrow().has_pending() {
                 let _ = timeout(PREFILL_REPEAT_PAUSE, self.shared.prefill_changes.notified()).await;
             }
         }
@@ -217,6 +217,6 @@
         let notice = self.shared.index.borrow_mut().notice(sender, sequence, self.shared.clock.now());
         let knowledge = self.shared.knowledge.load_full();
         let receivers = &knowledge.peers[..knowledge.peers.len().min(NOTIFIED_PEERS_MAXIMUM)];
-        self.send(&PeerNotice::Notice(notice), NodeMessageKind::Prefills, receivers).await
+        self.send(&PeerNotice::Prefills(notice), NodeMessageKind::Prefills, receivers).await
     }
 }
--- a/crates/relay/src/peer_notices/mod.rs
+++ b/crates/relay/src/peer_notices/mod.rs
@@ -112,20 +112,24 @@
         let Some(sender) = self.sender() else {
             return;
         };
-        self.send(&PeerNotice::AskKept { sender }, NodeMessageKind::CachedParts, &self.random_peers(QUERIED_PEERS))
-            .await;
+        self.send(
+            &PeerNotice::RequestCachedParts { sender },
+            NodeMessageKind::CachedParts,
+            &self.random_peers(QUERIED_PEERS),
+        )
+        .await;
     }
 
     /// Whether any cached part of any engine is known.
     pub fn knows_cached_parts(&self) -> bool {
-        self.shared.index.borrow().knows_kept()
+        self.shared.index.borrow().knows_cached_parts()
     }
 
     /// Records the cached parts that an engine itself reported.
     pub fn record_cached_parts(&self, engine: &BackEndId, parts: Vec<PromptPart>) {
         let announced = parts.into_iter().map(|part| AnnouncedPart { part, brought_since: 0 });
         let cached = CachedParts { engine: engine.clone(), parts: announced.collect() };
-        self.shared.index.borrow_mut().adopt_kept(cached, self.shared.clock.now());
+        self.shared.index.borrow_mut().merge_cached_parts(cached, self.shared.clock.now());
     }
 
     /// Sends a message and returns the number of bytes sent; 0 before the node takes part in the exchange.
@@ -161,14 +165,14 @@
     /// Records that `engine` received the KV cache of `prompt` from another engine and began its answer `took` after
     /// the request was sent to it.
     pub fn record_cache_transfer(&self, engine: &BackEndId, prompt: &Prompt, took: Duration) {
-        self.shared.index.borrow_mut().moved(engine, prompt, took, self.shared.clock.now());
+        self.shared.index.borrow_mut().record_move(engine, prompt, took, self.shared.clock.now());
         self.notify_prefill_change();
     }
 
     /// Records that an engine began its answer `took` after the request was sent to it, without the prefill or the
     /// cache transfer of a long prompt.
     pub fn record_wait(&self, took: Duration) {
-        self.shared.index.borrow_mut().waited(took, self.shared.clock.now());
+        self.shared.index.borrow_mut().record_wait(took, self.shared.clock.now());
     }
 
     /// Records that `back_end` could not be reached and announces it to peers at once.
--- a/crates/relay/tests/peer_notices.rs
+++ b/crates/relay/tests/peer_notices.rs
@@ -53,7 +53,7 @@
     }
 
     fn cached_tokens(&self) -> u32 {
-        self.peer_notices.with_index(|index| index.kept_tokens_of(&engine().id, &prompt()))
+        self.peer_notices.with_index(|index| index.cached_tokens_of(&engine().id, &prompt()))
     }
 }
 
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -7,8 +7,8 @@
 };
 use havengate_core::duties::usage::{UsageCountsMessage, WindowNumber};
 use havengate_core::relay::{
-    AnnouncedPart, CachedParts, ContentId, EngineTag, FinishedPrefill, OpenPrefills, PeerNotice, PrefillNotice,
-    PrefillTotals, PromptPart, ReportedRun, ReportedTermination, ServedContent, TerminationNotice, UnreachableNotice,
+    AnnouncedPart, AnsweredContent, CachedParts, ContentId, EngineTag, FinishedPrefill, OpenPrefills, PeerNotice,
+    PrefillNotice, PrefillTotals, PromptPart, ReportedRun, ReportedTermination, TerminationNotice, UnreachableNotice,
 };
 use havengate_core::replication::{
     ConfigurationChanges, ConfigurationUpdate, Digest, KnowledgeAges, PackedUpdate, PeerAddresses, PeerMessage, Pull,
@@ -83,21 +83,21 @@
     let run = ReportedRun { content: content(), ran_micros: 900 };
     let terminations = TerminationNotice {
         sender,
-        ends: vec![ReportedTermination { engine: tag(5), age_micros: 1_000, runs: vec![run] }],
-        served: vec![ServedContent { content: content(), age_micros: 2_000 }],
+        terminations: vec![ReportedTermination { engine: tag(5), age_micros: 1_000, runs: vec![run] }],
+        answered: vec![AnsweredContent { content: content(), age_micros: 2_000 }],
     };
     let draining = DrainingBackEnd { back_end: back_end_id(), age_millis: 250 };
     let limit = |limit| AnnouncedLimit { back_end: back_end_id(), limit, age_millis: 250 };
     vec![
-        sample("readings.notice", PeerNotice::Notice(notice)),
-        sample("readings.ask_kept", PeerNotice::AskKept { sender }),
-        sample("readings.kept", PeerNotice::Kept(cached)),
+        sample("readings.notice", PeerNotice::Prefills(notice)),
+        sample("readings.ask_kept", PeerNotice::RequestCachedParts { sender }),
+        sample("readings.kept", PeerNotice::CachedParts(cached)),
         sample(
             "readings.unreachable",
             PeerNotice::Unreachable(UnreachableNotice { sender, back_ends: vec![(tag(6), 90)] }),
         ),
-        sample("readings.ends", PeerNotice::Ends(terminations)),
-        sample("readings.leaving", PeerNotice::Leaving(DrainNotice { sender, back_ends: vec![draining] })),
+        sample("readings.ends", PeerNotice::Terminations(terminations)),
+        sample("readings.leaving", PeerNotice::Drains(DrainNotice { sender, back_ends: vec![draining] })),
         sample(
             "readings.limits",
             PeerNotice::Limits(LimitNotice { sender, limits: vec![limit(RequestRate::per_second(3.3)), limit(None)] }),
