--- a/crates/core/src/relay/attribution.rs
+++ b/crates/core/src/relay/attribution.rs
@@ -1,8 +1,8 @@
 //! Attributes the termination of an engine to one of the requests that ran there.
 //!
-//! A request that terminates its engines also interrupts the requests that run beside it. Those are interrupted as often as
-//! chance places them there; the culprit is present each time. So a termination is attributed to one request only, the one
-//! under which most engines terminated, and no longer counts against the others.
+//! A request that terminates its engines also interrupts the requests that run beside it. Those are interrupted as
+//! often as chance places them there; the culprit is present each time. So a termination is attributed to one request
+//! only, the one under which most engines terminated, and no longer counts against the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -35,16 +35,17 @@
 pub struct AttributionRules {
     /// The number of terminations from which a request is blocked.
     pub threshold: usize,
-    /// Engines that terminate within this time of each other, as those of one rack do, are assumed to have one common cause and
-    /// count once; unless the request was sent to the second engine only after the first had terminated.
+    /// Engines that terminate within this time of each other, as those of one rack do, are assumed to have one common
+    /// cause and count once; unless the request was sent to the second engine only after the first had terminated.
     pub coincidence_window: Duration,
 }
 
 /// Returns the requests that `terminations`, sorted from the oldest, are attributed to.
 ///
-/// The request with most terminations is handled first, and terminations attributed to it do not count against the others.
-/// Where two requests have equally many, and removing those of one would leave the other below the threshold, the culprit can't
-/// be determined: neither is attributed until the next termination distinguishes them, or until both reach twice the threshold.
+/// The request with most terminations is handled first, and terminations attributed to it do not count against the
+/// others. Where two requests have equally many, and removing those of one would leave the other below the threshold,
+/// the culprit can't be determined: neither is attributed until the next termination distinguishes them, or until both
+/// reach twice the threshold.
 pub fn attribute_terminations(terminations: &[EngineTermination], rules: &AttributionRules) -> Vec<Attribution> {
     let count = |content: &ContentId, indices: &BTreeSet<usize>| {
         distinct_terminations(terminations, *content, indices, rules.coincidence_window)
--- a/crates/core/src/relay/content.rs
+++ b/crates/core/src/relay/content.rs
@@ -8,9 +8,9 @@
 
 /// An eight-byte hash of a request's parts, the same on every node.
 ///
-/// A caller that repeats a request sends it with a new request ID; the content ID is what the copies have in common. Two
-/// contents collide by chance once in 2^64 pairs. The hash is not keyed: a caller that chooses whole bodies could construct a
-/// collision, which is why the parts include what identifies the caller.
+/// A caller that repeats a request sends it with a new request ID; the content ID is what the copies have in common.
+/// Two contents collide by chance once in 2^64 pairs. The hash is not keyed: a caller that chooses whole bodies could
+/// construct a collision, which is why the parts include what identifies the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ContentId(u64);
 
--- a/crates/core/src/relay/engine_tag.rs
+++ b/crates/core/src/relay/engine_tag.rs
@@ -7,8 +7,8 @@
 
 /// One incarnation of a back end in four bytes, the same on every node: the low half of the hash of its ID.
 ///
-/// In one of 500 fleets of 4,100 engines, two engines share a tag. Their estimated backlogs and cache contents are then merged;
-/// requests are not affected.
+/// In one of 500 fleets of 4,100 engines, two engines share a tag. Their estimated backlogs and cache contents are then
+/// merged; requests are not affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct EngineTag(u32);
 
--- a/crates/core/src/relay/engine_terminations.rs
+++ b/crates/core/src/relay/engine_terminations.rs
@@ -1,8 +1,9 @@
-//! Engines that terminated while running requests, as observed by all nodes, and the requests that are blocked as their cause.
+//! Engines that terminated while running requests, as observed by all nodes, and the requests that are blocked as their
+//! cause.
 //!
-//! A request may terminate each engine that begins to run it. Its caller sends it again, to any node, and each copy would
-//! terminate further engines and interrupt all that runs there. Attempts are limited per copy, so only a record of the content
-//! that outlives the copies and is shared by all nodes stops this.
+//! A request may terminate each engine that begins to run it. Its caller sends it again, to any node, and each copy
+//! would terminate further engines and interrupt all that runs there. Attempts are limited per copy, so only a record
+//! of the content that outlives the copies and is shared by all nodes stops this.
 //!
 //! The record is bounded and expires: a blocked request may be tried again after a time that doubles with each further
 //! termination, and a request that receives a complete answer is cleared at all nodes.
@@ -20,16 +21,16 @@
 /// Limits of [`EngineTerminations`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineTerminationsConfig {
-    /// When terminations count against a request, and how many block it. One or two may be chance: an engine terminates, and the
-    /// repeated request is running on the next engine that terminates. The coincidence window is longer than the difference between
-    /// the times at which nodes notice the same termination.
+    /// When terminations count against a request, and how many block it. One or two may be chance: an engine
+    /// terminates, and the repeated request is running on the next engine that terminates. The coincidence window is
+    /// longer than the difference between the times at which nodes notice the same termination.
     pub rules: AttributionRules,
     /// How long a request is blocked after the last termination, once it has reached the threshold.
     pub first_block: Duration,
     /// The longest block; each further termination doubles the duration up to this limit.
     pub longest_block: Duration,
-    /// How long a termination counts. Longer than the longest block, so that the terminations of a request that is tried again
-    /// still count.
+    /// How long a termination counts. Longer than the longest block, so that the terminations of a request that is
+    /// tried again still count.
     pub retention: Duration,
     /// The maximum number of stored terminations; the oldest are dropped first.
     pub terminations_maximum: usize,
@@ -37,7 +38,8 @@
     pub contents_maximum: usize,
     /// The maximum number of requests recorded as cleared; the oldest are dropped first.
     pub cleared_maximum: usize,
-    /// The maximum number of pending announcements, each a termination with one request or an answer; the oldest are dropped first.
+    /// The maximum number of pending announcements, each a termination with one request or an answer; the oldest are
+    /// dropped first.
     pub pending_maximum: usize,
     /// The maximum number of announcements in one notice, so that it fits into a datagram.
     pub notice_maximum: usize,
@@ -93,8 +95,8 @@
     /// The number of `terminations` that contain a request.
     counts: HashMap<ContentId, usize>,
     attributions: BTreeMap<ContentId, Attribution>,
-    /// Requests that received a complete answer after engines had terminated while running them, with the time of the answer; oldest
-    /// first. A peer that did not receive that update may continue to report the terminations before it.
+    /// Requests that received a complete answer after engines had terminated while running them, with the time of the
+    /// answer; oldest first. A peer that did not receive that update may continue to report the terminations before it.
     cleared: VecDeque<(ContentId, Timestamp)>,
     pending: VecDeque<PendingAnnouncement>,
 }
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Records that `engine` terminated at `at` while doing `runs` for this node. Returns the requests that are newly blocked.
+    /// Records that `engine` terminated at `at` while doing `runs` for this node. Returns the requests that are newly
+    /// blocked.
     pub fn record_termination(&mut self, engine: EngineTag, runs: &[TerminatedRun], at: Timestamp) -> Vec<Attribution> {
         let remaining = self.config.transmissions;
         for run in runs {
@@ -153,9 +156,10 @@
         self.update_attributions()
     }
 
-    /// Records that a request received a complete answer: it doesn't terminate its engines, so it only ran beside a request that
-    /// does, or on engines that terminated for another reason. Returns the requests that are newly blocked because the terminations
-    /// are now attributed to them; `None` when no engine had terminated while running the request.
+    /// Records that a request received a complete answer: it doesn't terminate its engines, so it only ran beside a
+    /// request that does, or on engines that terminated for another reason. Returns the requests that are newly blocked
+    /// because the terminations are now attributed to them; `None` when no engine had terminated while running the
+    /// request.
     pub fn record_answered(&mut self, content: ContentId, now: Timestamp) -> Option<Vec<Attribution>> {
         if !self.clear(content, now) {
             return None;
@@ -204,7 +208,8 @@
         (announced > 0).then_some(notice)
     }
 
-    /// Returns the terminations that are attributed to a request, for storage outside the nodes; `None` when there are none.
+    /// Returns the terminations that are attributed to a request, for storage outside the nodes; `None` when there are
+    /// none.
     pub fn attributed_terminations(&self, content: ContentId, now: Timestamp) -> Option<Vec<ReportedTermination>> {
         self.attributions.get(&content)?;
         let mut terminations = Vec::new();
@@ -217,8 +222,8 @@
         !self.pending.is_empty()
     }
 
-    /// Returns a notice of the attributed requests with their terminations, for a node that has just started or was unreachable: as
-    /// many as fit into one notice, those with the most recent terminations first.
+    /// Returns a notice of the attributed requests with their terminations, for a node that has just started or was
+    /// unreachable: as many as fit into one notice, those with the most recent terminations first.
     pub fn attribution_notice(&self, sender: Address, now: Timestamp) -> Option<TerminationNotice> {
         let mut attributions: Vec<&Attribution> = self.attributions.values().collect();
         attributions.sort_by_key(|attribution| std::cmp::Reverse(attribution.last));
@@ -246,7 +251,8 @@
         terminations.map(|(engine, run, at)| add_run(reported, engine, run, at, now)).count()
     }
 
-    /// Removes expired entries. Returns the requests that are newly blocked because the remaining terminations are attributed to them.
+    /// Removes expired entries. Returns the requests that are newly blocked because the remaining terminations are
+    /// attributed to them.
     pub fn tidy(&mut self, now: Timestamp) -> Vec<Attribution> {
         let retention = self.config.retention;
         let before = self.terminations.len();
@@ -320,11 +326,16 @@
         self.cleared.push_back((content, at));
     }
 
-    /// Announces an answer again when a peer reports its request for a termination before that answer: the peer has not received
-    /// the announcement.
+    /// Announces an answer again when a peer reports its request for a termination before that answer: the peer has not
+    /// received the announcement.
     fn announce_cleared_again(&mut self, runs: &[TerminatedRun], terminated_at: Timestamp) {
         let is_pending = |content: ContentId| {
-            let announces = |pending: &PendingAnnouncement| matches!(pending.announcement, Announcement::Answered { content: answered, .. } if answered == content);
+            let announces = |pending: &PendingAnnouncement| {
+                matches!(
+                    pending.announcement,
+                    Announcement::Answered { content: answered, .. } if answered == content
+                )
+            };
             self.pending.iter().any(announces)
         };
         let is_reported_wrongly = |(content, at): &&(ContentId, Timestamp)| {
@@ -352,8 +363,8 @@
         }
     }
 
-    /// Attributes the terminations to requests again after a change: clearing one request may decide the attribution to another one.
-    /// Returns the requests that are attributed now and weren't before.
+    /// Attributes the terminations to requests again after a change: clearing one request may decide the attribution to
+    /// another one. Returns the requests that are attributed now and weren't before.
     fn update_attributions(&mut self) -> Vec<Attribution> {
         let terminations = if self.counts.keys().any(|content| self.reaches_threshold(content)) {
             self.relevant_terminations()
--- a/crates/core/src/relay/exchange.rs
+++ b/crates/core/src/relay/exchange.rs
@@ -7,8 +7,8 @@
 use crate::time::Timestamp;
 use crate::verdict::{MayHaveRun, NotRunReason};
 
-/// The most sends that may fail before leaving the node because the back end can't be connected to. They cost only time and
-/// don't count as attempts.
+/// The most sends that may fail before leaving the node because the back end can't be connected to. They cost only time
+/// and don't count as attempts.
 const UNSENT_MAXIMUM: u32 = 3;
 
 /// With less time left than this, another send would only run into its deadline.
@@ -53,9 +53,9 @@
 
 /// The state of one request.
 ///
-/// Invariants: a request that may not be repeated is sent again only while it has certainly not run; a refusal is returned
-/// only while it has certainly not run; sends that left the node never exceed the route's maximum, and each beyond the first
-/// was taken out of the shared retry budget.
+/// Invariants: a request that may not be repeated is sent again only while it has certainly not run; a refusal is
+/// returned only while it has certainly not run; sends that left the node never exceed the route's maximum, and each
+/// beyond the first was taken out of the shared retry budget.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     rules: ExchangeRules,
@@ -64,8 +64,8 @@
     unsent: u32,
     may_have_run: bool,
     prefilled: bool,
-    /// Whether a prefill failed, with an answer or without one. The engine may not have started it, so the next send counts as a
-    /// repeat.
+    /// Whether a prefill failed, with an answer or without one. The engine may not have started it, so the next send
+    /// counts as a repeat.
     prefill_failed: bool,
 }
 
@@ -103,11 +103,11 @@
         self.sends == 0 && !self.prefilled
     }
 
-    /// Records the outcome of a prefill at a prefill engine; `None` when the engine returned a handle. A prefill does not count
-    /// as a run of the request.
+    /// Records the outcome of a prefill at a prefill engine; `None` when the engine returned a handle. A prefill does
+    /// not count as a run of the request.
     ///
-    /// The first prefill that an engine starts is free. One that it declines counts like a send. One that fails or has no
-    /// answer may not have been started: the next send counts as a repeat, but the prefill not as an attempt.
+    /// The first prefill that an engine starts is free. One that it declines counts like a send. One that fails or has
+    /// no answer may not have been started: the next send counts as a repeat, but the prefill not as an attempt.
     pub fn after_prefill(&mut self, failure: Option<SendOutcome>) {
         match failure {
             Some(SendOutcome::NotSent) => self.unsent += 1,
--- a/crates/core/src/relay/late_prefills.rs
+++ b/crates/core/src/relay/late_prefills.rs
@@ -1,12 +1,13 @@
 //! Estimates how much longer the prefill of a late prompt takes than was expected at its placement.
 //!
-//! A late prompt is prefilled after all prompts that can still meet their deadline. Its expected time covers the prompts that are
-//! already queued, but not those that arrive later and overtake it. While more of these arrive than engines can prefill, a late
-//! prompt waits until its caller gives up. The engines' backlogs do not show this; the node's own late prompts do.
+//! A late prompt is prefilled after all prompts that can still meet their deadline. Its expected time covers the
+//! prompts that are already queued, but not those that arrive later and overtake it. While more of these arrive than
+//! engines can prefill, a late prompt waits until its caller gives up. The engines' backlogs do not show this; the
+//! node's own late prompts do.
 //!
-//! In a run with four seconds of three to five times the usual number of long prompts, on 66 nodes and 57 engines, 2,199
-//! of 36,000 callers waited 2 s in vain without this estimate and 1,658 with it; no fewer were served (one run each, counted
-//! from the request_ended log lines).
+//! In a run with four seconds of three to five times the usual number of long prompts, on 66 nodes and 57 engines,
+//! 2,199 of 36,000 callers waited 2 s in vain without this estimate and 1,658 with it; no fewer were served (one run
+//! each, counted from the request_ended log lines).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,8 +17,8 @@
 /// The weight of one late prompt in the estimate. About five prompts dominate it, since a burst lasts a few seconds.
 const WEIGHT: f64 = 0.25;
 
-/// The time after which the estimate expires. Late prompts are then accepted again, until the first of them shows that it
-/// takes longer than expected.
+/// The time after which the estimate expires. Late prompts are then accepted again, until the first of them shows that
+/// it takes longer than expected.
 const ESTIMATE_EXPIRY: Duration = Duration::from_secs(1);
 
 /// Identifies a waiting late prompt.
@@ -55,8 +56,8 @@
         id
     }
 
-    /// Records that the prefill of a late prompt completed or was abandoned. One that was abandoned before the expected time does
-    /// not change the estimate.
+    /// Records that the prefill of a late prompt completed or was abandoned. One that was abandoned before the expected
+    /// time does not change the estimate.
     pub fn end(&mut self, id: LatePrefillId, is_complete: bool, now: Timestamp) {
         let Some(waiting) = self.waiting.remove(&id) else {
             return;
--- a/crates/core/src/relay/moves.rs
+++ b/crates/core/src/relay/moves.rs
@@ -1,10 +1,10 @@
 //! Estimates how long transfers of KV caches take, without the wait at the engine that answers.
 //!
-//! A node only observes when the answer to a prompt with a transferred cache begins. That time includes the engine's queue and step,
-//! which grow with the prompts that are prefilled there; and nodes prefill there when transfers look slow. So the wait is
-//! subtracted from each sample, and the estimate fades back to the prior. Without either, an overload of a few seconds outlives its
-//! cause: transfers look slow, prompts are prefilled at the engines that answer, and no transfer is made that could correct the
-//! estimate.
+//! A node only observes when the answer to a prompt with a transferred cache begins. That time includes the engine's
+//! queue and step, which grow with the prompts that are prefilled there; and nodes prefill there when transfers look
+//! slow. So the wait is subtracted from each sample, and the estimate fades back to the prior. Without either, an
+//! overload of a few seconds outlives its cause: transfers look slow, prompts are prefilled at the engines that answer,
+//! and no transfer is made that could correct the estimate.
 
 use std::time::Duration;
 
@@ -23,12 +23,12 @@
 /// The weight of one answer in the estimate of the wait, on a logarithmic scale: about four answers dominate it.
 const WAIT_WEIGHT: f64 = 0.25;
 
-/// The half-life of the estimated wait without new answers. Longer than the time between two short prompts of a node at most
-/// loads.
+/// The half-life of the estimated wait without new answers. Longer than the time between two short prompts of a node at
+/// most loads.
 const WAIT_HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// The half-life of the weight of transfer samples, so that an estimate that prevents all transfers expires by itself. New
-/// transfers renew it.
+/// The half-life of the weight of transfer samples, so that an estimate that prevents all transfers expires by itself.
+/// New transfers renew it.
 const SAMPLE_HALF_LIFE: Duration = Duration::from_secs(3);
 
 /// A node's estimate of the duration of transfers.
@@ -54,7 +54,8 @@
 }
 
 impl Moves {
-    /// Records that an engine began an answer `took` after the request was sent, without a transfer or prefill of a long prompt.
+    /// Records that an engine began an answer `took` after the request was sent, without a transfer or prefill of a
+    /// long prompt.
     pub fn observe_wait(&mut self, took: Duration, now: Timestamp) {
         let previous = self.wait_at(now).max(MINIMUM_MILLIS).ln();
         self.log_wait = previous + WAIT_WEIGHT * (millis(took).ln() - previous);
--- a/crates/core/src/relay/open_prefills.rs
+++ b/crates/core/src/relay/open_prefills.rs
@@ -100,10 +100,11 @@
         }
     }
 
-    /// Estimates the tokens that `engine`, with `rate` tokens per millisecond, has to prefill before a prompt of `urgency` that
-    /// arrives now. A prefill whose end is not reported within `maximum` is assumed to have ended.
+    /// Estimates the tokens that `engine`, with `rate` tokens per millisecond, has to prefill before a prompt of
+    /// `urgency` that arrives now. A prefill whose end is not reported within `maximum` is assumed to have ended.
     ///
-    /// Engines prefill one prompt after the other, so progress counts from the last reported end, for whichever node that prefill was.
+    /// Engines prefill one prompt after the other, so progress counts from the last reported end, for whichever node
+    /// that prefill was.
     pub(super) fn backlog(
         &self,
         engine: EngineTag,
--- a/crates/core/src/relay/peer_notice.rs
+++ b/crates/core/src/relay/peer_notice.rs
@@ -49,7 +49,8 @@
     pub brought_since: u64,
 }
 
-/// The open prefills of one engine for the sender, summed up: the size of the entry does not grow with the number of requests.
+/// The open prefills of one engine for the sender, summed up: the size of the entry does not grow with the number of
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct OpenPrefills {
     /// The engine.
@@ -73,7 +74,8 @@
     pub tokens: u32,
 }
 
-/// A node's notice to its peers about its prefills. It contains all open prefills, so that the next notice makes up for a lost one.
+/// A node's notice to its peers about its prefills. It contains all open prefills, so that the next notice makes up for
+/// a lost one.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PrefillNotice {
     /// The address where the sender receives notices; identifies the sender.
@@ -82,7 +84,8 @@
     pub sequence: u64,
     /// The sender's open prefills, by engine.
     pub open: Vec<OpenPrefills>,
-    /// The number of the first of `finished`. Numbers increase by one with each finished prefill of one incarnation of the sender.
+    /// The number of the first of `finished`. Numbers increase by one with each finished prefill of one incarnation of
+    /// the sender.
     pub first_finished: u64,
     /// Finished prefills of the sender, with consecutive numbers.
     pub finished: Vec<FinishedPrefill>,
--- a/crates/core/src/relay/prompt.rs
+++ b/crates/core/src/relay/prompt.rs
@@ -28,8 +28,8 @@
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// The last part that other requests may share; a request that shares it shares all parts before it. `None` when nothing is
-    /// shared.
+    /// The last part that other requests may share; a request that shares it shares all parts before it. `None` when
+    /// nothing is shared.
     pub fn deepest_shared_part(&self) -> Option<PromptPart> {
         self.shared_parts().last().copied()
     }
--- a/crates/core/src/relay/prompt_index.rs
+++ b/crates/core/src/relay/prompt_index.rs
@@ -1,5 +1,5 @@
-//! The open prefills of each engine and the shared prompt parts in its cache, estimated from this node's own requests and from
-//! its peers' notices.
+//! The open prefills of each engine and the shared prompt parts in its cache, estimated from this node's own requests
+//! and from its peers' notices.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -24,8 +24,8 @@
     pub peer_expiry: Duration,
     /// The capacity of an engine's cache in tokens, until the configuration sets it.
     pub cache_tokens: u64,
-    /// The share of a cache that is assumed to hold the last prefilled prompts. The rest is used by running requests and by short
-    /// prompts, which are not tracked here.
+    /// The share of a cache that is assumed to hold the last prefilled prompts. The rest is used by running requests
+    /// and by short prompts, which are not tracked here.
     pub cache_share: f64,
     /// How often each finished prefill is announced, since a datagram may be lost.
     pub finished_announcements: u32,
@@ -132,14 +132,15 @@
         self.finish(prefill.engine, prefill.shared_parts, prefill.prompt_tokens, now);
     }
 
-    /// Records that `engine` has fetched the KV cache of `prompt` from another engine and has the prompt's shared parts in its cache.
-    /// The engine began its answer `took` after the request was sent.
+    /// Records that `engine` has fetched the KV cache of `prompt` from another engine and has the prompt's shared parts
+    /// in its cache. The engine began its answer `took` after the request was sent.
     pub fn record_move(&mut self, engine: &BackEndId, prompt: &Prompt, took: Duration, now: Timestamp) {
         self.model.observe_move(prompt.tokens, took, now);
         self.finish(engine.into(), prompt.shared_parts().to_vec(), prompt.tokens, now);
     }
 
-    /// Records that an engine began an answer `took` after the request was sent, without a transfer or prefill of a long prompt.
+    /// Records that an engine began an answer `took` after the request was sent, without a transfer or prefill of a
+    /// long prompt.
     pub fn record_wait(&mut self, took: Duration, now: Timestamp) {
         self.model.observe_wait(took, now);
     }
@@ -161,8 +162,8 @@
         !self.pending.is_empty()
     }
 
-    /// Returns the next notice to peers, limited to its maximum size. Finished prefills that don't fit are sent with the next notice;
-    /// of the open prefills, those with the fewest tokens are left out.
+    /// Returns the next notice to peers, limited to its maximum size. Finished prefills that don't fit are sent with
+    /// the next notice; of the open prefills, those with the fewest tokens are left out.
     pub fn notice(&mut self, sender: Address, sequence: u64, now: Timestamp) -> PrefillNotice {
         let bytes = self.config.notice_bytes;
         let mut open = self.open.announced(now);
@@ -210,8 +211,8 @@
         true
     }
 
-    /// Returns the estimated cached parts of each of `engines`, for a node that has just started: at most `parts_maximum` per engine,
-    /// the most recently used first.
+    /// Returns the estimated cached parts of each of `engines`, for a node that has just started: at most
+    /// `parts_maximum` per engine, the most recently used first.
     pub fn cached_parts<'e>(
         &'e self,
         engines: impl Iterator<Item = &'e BackEndId> + 'e,
@@ -247,7 +248,8 @@
         }
     }
 
-    /// Estimates the tokens that `engine`, which serves `stage`, has to prefill before a prompt of `urgency` that arrives now.
+    /// Estimates the tokens that `engine`, which serves `stage`, has to prefill before a prompt of `urgency` that
+    /// arrives now.
     pub fn backlog(&self, engine: &BackEndId, stage: EngineStage, urgency: Urgency, now: Timestamp) -> f64 {
         self.open.backlog(engine.into(), urgency, self.model.rate(stage), self.config.prefill_maximum, now)
     }
@@ -258,8 +260,8 @@
         cache.map_or(0, |cache| cache.cached_tokens_of(prompt.shared_parts(), self.tracked_tokens()))
     }
 
-    /// Returns the engine among `others` that caches more of the start of `prompt` than `engine`: the one that caches most, and among
-    /// equals the one that used it last.
+    /// Returns the engine among `others` that caches more of the start of `prompt` than `engine`: the one that caches
+    /// most, and among equals the one that used it last.
     pub fn cache_peer<'b>(
         &self,
         engine: &BackEndId,
--- a/crates/core/src/relay/termination_notice.rs
+++ b/crates/core/src/relay/termination_notice.rs
@@ -22,8 +22,8 @@
 pub struct ReportedTermination {
     /// The engine.
     pub engine: EngineTag,
-    /// The age of the termination in microseconds. The resolution is needed because the send of a request and a termination may be
-    /// a few microseconds apart.
+    /// The age of the termination in microseconds. The resolution is needed because the send of a request and a
+    /// termination may be a few microseconds apart.
     pub age_micros: u64,
     /// The requests that it ran.
     pub runs: Vec<ReportedRun>,
@@ -43,7 +43,7 @@
 pub struct AnsweredContent {
     /// The request.
     pub content: ContentId,
-    /// The age of the answer in microseconds. The resolution is needed because the answer and a termination may be a few
-    /// microseconds apart.
+    /// The age of the answer in microseconds. The resolution is needed because the answer and a termination may be a
+    /// few microseconds apart.
     pub age_micros: u64,
 }
