--- a/crates/core/src/gateway/config.rs
+++ b/crates/core/src/gateway/config.rs
@@ -7,19 +7,19 @@
 /// Limits of the gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayConfig {
-    /// How long an answer to a revocation is waited for. It bounds how long a final verdict is held back when a hop
-    /// has failed: without an answer the request may have run.
+    /// How long to wait for the answer to a revocation. It bounds how long a final verdict is delayed when a hop has
+    /// failed: without an answer the request may have run.
     pub revocation_timeout: Duration,
-    /// The most dispatchers that one request is sent to.
+    /// The maximum number of dispatchers that one request is sent to.
     pub targets_maximum: usize,
-    /// How much farther than the nearest pool another may be, in one-way latency, to be preferred for being less busy.
+    /// How much more one-way latency than the nearest pool another pool may have to be chosen for its lower load.
     pub near_margin: Duration,
-    /// How much longer than in the best near pool the predicted wait may be in the pool that has likely cached the
+    /// How much longer than in the best near pool the predicted wait may be in the pool that has probably cached the
     /// prompt's prefix.
     pub affinity_margin: Duration,
-    /// Leading blocks of a prompt that decide which pool it prefers: prompts that share them meet in one pool.
+    /// Number of leading blocks of a prompt that determine its preferred pool: prompts that share them prefer one pool.
     pub affinity_blocks: usize,
-    /// How long a pool's last known load counts; an older one counts as no load.
+    /// How long a pool's last known load is used; an older one is treated as no load.
     pub load_lifetime: Duration,
 }
 
@@ -49,7 +49,7 @@
     /// Checks the values.
     ///
     /// # Errors
-    /// The first rule that is broken.
+    /// The first rule that is violated.
     pub fn validate(&self) -> Result<(), GatewayConfigError> {
         if self.revocation_timeout.is_zero() {
             return Err(GatewayConfigError::RevocationTimeout);
--- a/crates/core/src/gateway/event.rs
+++ b/crates/core/src/gateway/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`super::GatewayRequest`] and what comes out of it.
+//! Inputs and outputs of a [`super::GatewayRequest`].
 
 use std::time::Duration;
 
@@ -8,81 +8,82 @@
 use crate::verdict::Verdict;
 use crate::world::PoolId;
 
-/// Counts the dispatchers that one request is sent to, from 1. What an earlier attempt still sends is told by it.
+/// Numbers the attempts of one request from 1, one for each dispatcher that it is sent to. It identifies late events of
+/// an earlier attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u32);
 
-/// Where a request may be sent: one hop, since a dispatcher never forwards.
+/// A destination of a request: one hop, since a dispatcher never forwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The pool that is to serve the request.
+    /// The pool to serve the request.
     pub pool: PoolId,
-    /// The node that dispatches for it; this node itself is called without a connection.
+    /// The node that dispatches for the pool; the local node is called without a connection.
     pub dispatcher: Member,
 }
 
-/// What happened to an attempt.
+/// An event of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayEvent {
-    /// No byte of the request has left: the dispatcher can't be reached.
+    /// No byte of the request was sent: the dispatcher can't be reached.
     NotSent {
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// A piece of the answer has come.
+    /// A piece of the answer has arrived.
     Piece {
         /// The attempt that it belongs to.
         attempt: AttemptNumber,
         /// The piece.
         piece: AnswerPiece,
     },
-    /// The dispatcher has told how the request ended.
+    /// The dispatcher has reported how the request ended.
     Ended {
         /// The attempt.
         attempt: AttemptNumber,
         /// The dispatcher's verdict.
         verdict: Verdict,
     },
-    /// The connection failed after bytes may have left, or nothing was heard for too long.
+    /// The connection failed after bytes may have been sent, or nothing was received for too long.
     Lost {
         /// The attempt.
         attempt: AttemptNumber,
         /// The process that the request was sent to, as it introduced itself.
         peer: Member,
     },
-    /// The answer to a revocation has come.
+    /// The answer to a revocation has arrived.
     Revoked {
         /// The attempt that was revoked.
         attempt: AttemptNumber,
         /// The process that answered, as it introduced itself.
         from: Member,
-        /// What it found.
+        /// The result of the revocation.
         revocation: Revocation,
     },
     /// The revocation failed.
     RevocationLost {
-        /// The attempt that was to be revoked.
+        /// The attempt whose revocation failed.
         attempt: AttemptNumber,
     },
-    /// The caller has hung up.
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// What the caller of the machine must do.
+/// An action that the user of the state machine must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayAction {
     /// Send the request to a dispatcher.
     Forward {
         /// Identifies the attempt in its events.
         attempt: AttemptNumber,
-        /// Where to send it.
+        /// The destination.
         target: Target,
-        /// Tokens of the answer that the caller already has.
+        /// Number of tokens of the answer that the caller already has.
         resume_from: u32,
         /// Time left until the deadline.
         time_left: Duration,
     },
-    /// Ask the process that the attempt was sent to, and no later one at its address, to withdraw the request.
+    /// Ask the process that the attempt was sent to, and no later process at its address, to withdraw the request.
     Revoke {
         /// The attempt.
         attempt: AttemptNumber,
@@ -91,6 +92,6 @@
     },
     /// Pass a piece of the answer on to the caller.
     Deliver(AnswerPiece),
-    /// Give the caller the final verdict, at once. Nothing follows.
+    /// Send the caller the final verdict immediately. No action follows it.
     Finish(Verdict),
 }
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! The gateway's decisions: which pool and dispatcher a request goes to, what becomes of it when a hop fails, and how
-//! its answer is put together.
+//! The gateway's decisions: which pool and dispatcher a request is sent to, what happens when a hop fails, and how its
+//! answer is assembled.
 //!
-//! A [`PoolPicker`] ranks targets, a [`GatewayRequest`] takes one request through them to its verdict, and its
+//! A [`PoolPicker`] ranks targets, a [`GatewayRequest`] drives one request through them to its verdict, and its
 //! [`AnswerAssembler`] passes each part of the answer on once and in order.
 
 mod answer_assembler;
--- a/crates/core/src/gateway/pool_picker.rs
+++ b/crates/core/src/gateway/pool_picker.rs
@@ -1,4 +1,4 @@
-//! Chooses a pool for a request: a near one, the less busy of two, or the one that has likely cached its prefix.
+//! Chooses a pool for a request: a near one, the less loaded of two, or the one that has probably cached its prefix.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,33 +13,33 @@
 use crate::time::Timestamp;
 use crate::world::{EnginePerformance, PoolId};
 
-/// How busy a pool is, as its dispatcher sees it. It comes with each reply, so it costs no message of its own.
+/// The load of a pool in its dispatcher's view. Each reply carries it, so it needs no message of its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct PoolLoad {
-    /// Prompt tokens placed or waiting, and not yet read.
+    /// Prompt tokens that are placed or queued, and not yet prefilled.
     pub waiting_prefill_tokens: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Engines that take new work.
+    /// Number of engines that accept new work.
     pub serving_engines: u16,
 }
 
-/// A pool that serves the model asked for.
+/// A pool that serves the requested model.
 #[derive(Clone, Debug)]
 pub struct PoolOption {
     /// The pool.
     pub pool: PoolId,
     /// One-way latency from this node to the pool's zone.
     pub latency: Duration,
-    /// Engines of the pool, by configuration; used until the pool's load is known.
+    /// Configured number of engines of the pool; used until the pool's load is known.
     pub engines: u16,
-    /// What one engine of the pool can do.
+    /// The performance of one engine of the pool.
     pub performance: EnginePerformance,
-    /// The nodes that may dispatch for it, the intended one first.
+    /// The nodes that may dispatch for the pool, the intended one first.
     pub dispatchers: Vec<Member>,
 }
 
-/// Ranks pools for requests by what this node knows of their load.
+/// Ranks pools for requests by their load as known to this node.
 #[derive(Debug)]
 pub struct PoolPicker {
     config: GatewayConfig,
@@ -47,7 +47,7 @@
     loads: BTreeMap<PoolId, KnownLoad>,
 }
 
-/// A load and what this node has sent there since.
+/// A pool's load, and the tokens that this node has sent to the pool since.
 #[derive(Clone, Copy, Debug)]
 struct KnownLoad {
     load: PoolLoad,
@@ -56,17 +56,17 @@
 }
 
 impl PoolPicker {
-    /// A picker that knows no load. `seed` makes its random choices repeatable.
+    /// A picker without known loads. `seed` makes its random choices repeatable.
     pub fn new(config: GatewayConfig, seed: u64) -> Self {
         PoolPicker { config, random: Rng::with_seed(seed), loads: BTreeMap::new() }
     }
 
-    /// Takes in a load that came with a reply.
+    /// Records a load that was received with a reply.
     pub fn observe(&mut self, pool: &PoolId, load: PoolLoad, now: Timestamp) {
         self.loads.insert(pool.clone(), KnownLoad { load, sent_tokens: 0, at: now });
     }
 
-    /// Forgets pools that are no longer configured.
+    /// Removes pools that are no longer configured.
     pub fn retain(&mut self, mut is_configured: impl FnMut(&PoolId) -> bool) {
         self.loads.retain(|pool, _| is_configured(pool));
     }
@@ -85,7 +85,7 @@
         targets(&ranked, self.config.targets_maximum)
     }
 
-    /// The place in `ranked`, which is ordered by cost, of the pool to try first.
+    /// The index in `ranked`, which is ordered by cost, of the pool to try first.
     fn first_choice(
         &mut self,
         request: &RequestProfile,
@@ -102,15 +102,15 @@
                 return Some(preferred);
             }
         }
-        // Of two drawn at random, the cheaper one: all nodes that took the best would meet there.
+        // The cheaper of two random choices: if every node chose the best pool, all would send to it.
         let one = near[self.random.usize(0..near.len())];
         let other = near[self.random.usize(0..near.len())];
         let drawn = one.min(other);
-        // A far pool is taken only if it is cheaper than every near one, its way included.
+        // A far pool is chosen only if it is cheaper than every near one, including its latency.
         Some(if best_near > 0 { 0 } else { drawn })
     }
 
-    /// The near pool that prompts with the same beginning prefer, by rendezvous hashing.
+    /// The near pool that prompts with the same prefix prefer, by rendezvous hashing.
     fn preferred(&self, request: &RequestProfile, ranked: &[&PoolOption], near: &[usize]) -> Option<usize> {
         let last_block = request.blocks.len().min(self.config.affinity_blocks).checked_sub(1)?;
         let prefix = request.blocks[last_block].0;
@@ -118,14 +118,14 @@
         near.iter().copied().max_by_key(|index| weight(&ranked[*index].pool))
     }
 
-    /// Predicted time until the prompt's turn comes: the way there and back, and the work ahead of it.
+    /// Predicted time until the prompt is processed: the round trip, and the work queued ahead of it.
     fn cost(&self, option: &PoolOption, now: Timestamp) -> Duration {
         let known = self.known(option, now);
         let engines = u32::from(known.load.serving_engines.max(1));
         let tokens = known.load.waiting_prefill_tokens.saturating_add(known.sent_tokens);
-        let reading = option.performance.read_time(tokens / engines);
+        let prefill = option.performance.read_time(tokens / engines);
         let batch = option.performance.step_time_of(known.load.running / engines);
-        option.latency * 2 + reading + batch
+        option.latency * 2 + prefill + batch
     }
 
     fn known(&self, option: &PoolOption, now: Timestamp) -> KnownLoad {
@@ -141,7 +141,7 @@
     }
 }
 
-/// The intended dispatcher of every pool before any second one: a second one mostly refuses.
+/// Lists the intended dispatcher of every pool before any second one: a second one usually refuses.
 fn targets(ranked: &[&PoolOption], maximum: usize) -> Vec<Target> {
     let longest = ranked.iter().map(|option| option.dispatchers.len()).max().unwrap_or(0);
     let by_rank = (0..longest).flat_map(|rank| {
--- a/crates/core/src/gateway/request.rs
+++ b/crates/core/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request on its way through the gateway, from the first dispatcher to the final verdict.
+//! The state machine of one request in the gateway, from the first dispatcher to the final verdict.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -12,10 +12,10 @@
 use crate::verdict::{MayHaveRun, NotRun, NotRunReason, Verdict};
 use crate::world::Address;
 
-/// Takes one request to its verdict.
+/// Drives one request to its verdict.
 ///
-/// The verdict is `NotRun` only if every attempt is known not to have run, and never will. A request is sent again only
-/// after a `NotRun`, or if it may be repeated; only within its deadline and the retry budget.
+/// The verdict is `NotRun` only if every attempt is known not to have run and to never run. A request is sent again
+/// only after a `NotRun` or if it may be repeated, and only within its deadline and the retry budget.
 #[derive(Debug)]
 pub struct GatewayRequest {
     config: GatewayConfig,
@@ -24,12 +24,12 @@
     targets: VecDeque<Target>,
     state: State,
     attempts: u32,
-    /// Tokens of the answer that the caller had when the present attempt began.
+    /// Number of tokens of the answer that the caller had when the current attempt began.
     first_token: u32,
     answer: AnswerAssembler,
-    /// An earlier attempt may have run, so the final verdict can't be that the request did not.
+    /// Set when an earlier attempt may have run, so the final verdict can't be `NotRun`.
     may_have_run: Option<MayHaveRun>,
-    /// Nodes that were told to withdraw the request and would refuse it from now on.
+    /// Nodes that were asked to withdraw the request and would refuse it from now on.
     revoked_at: BTreeSet<Address>,
     stale_events: u64,
     actions: Vec<GatewayAction>,
@@ -37,8 +37,8 @@
 
 #[derive(Debug)]
 enum State {
-    /// The next target is to be tried, for the reason why the last one did not take the request.
-    Choosing { refusal: NotRun, withdraws: bool },
+    /// The next target is to be tried, because the last one did not accept the request for the reason in `refusal`.
+    Choosing { refusal: NotRun, charges_budget: bool },
     /// The request has been sent to the process.
     Sent { peer: Member },
     /// The process has been asked to withdraw the request.
@@ -73,10 +73,10 @@
 }
 
 impl GatewayRequest {
-    /// A request that may be sent to `targets`, the best first.
+    /// A request that may be sent to `targets`, in order of preference.
     ///
     /// `contract_is_repeatable` allows a second run after an attempt that may have run; a request with an idempotency
-    /// key never gets one.
+    /// key is never run again.
     pub fn new(
         config: GatewayConfig,
         profile: &RequestProfile,
@@ -89,7 +89,7 @@
             is_repeatable: contract_is_repeatable && profile.key.is_none(),
             targets: targets.into_iter().take(config.targets_maximum).collect(),
             config,
-            state: State::Choosing { refusal: NotRun::new(NotRunReason::NoEngine), withdraws: false },
+            state: State::Choosing { refusal: NotRun::new(NotRunReason::NoEngine), charges_budget: false },
             attempts: 0,
             first_token: 0,
             answer: AnswerAssembler::new(profile.id),
@@ -100,38 +100,38 @@
         }
     }
 
-    /// Takes in what happened; [`GatewayRequest::poll`] then says what to do. Events of earlier attempts are dropped
-    /// and counted.
+    /// Applies an event; [`GatewayRequest::poll`] then returns the actions. Events of earlier attempts are dropped and
+    /// counted.
     pub fn step(&mut self, event: GatewayEvent, now: Timestamp) {
         if event_attempt(&event).is_some_and(|attempt| attempt.0 != self.attempts) {
             self.stale_events += 1;
             return;
         }
         match event {
-            GatewayEvent::NotSent { .. } => self.not_sent(),
-            GatewayEvent::Piece { piece, .. } => self.piece(piece),
-            GatewayEvent::Ended { verdict, .. } => self.ended(verdict),
-            GatewayEvent::Lost { peer, .. } => self.lost(peer, now),
-            GatewayEvent::Revoked { from, revocation, .. } => self.revoked(from, revocation),
-            GatewayEvent::RevocationLost { .. } => self.revocation_failed(),
-            GatewayEvent::CallerGone => self.stop(RevocationCause::CallerGone, now),
+            GatewayEvent::NotSent { .. } => self.on_not_sent(),
+            GatewayEvent::Piece { piece, .. } => self.on_piece(piece),
+            GatewayEvent::Ended { verdict, .. } => self.on_ended(verdict),
+            GatewayEvent::Lost { peer, .. } => self.on_lost(peer, now),
+            GatewayEvent::Revoked { from, revocation, .. } => self.on_revoked(from, revocation),
+            GatewayEvent::RevocationLost { .. } => self.on_revocation_failed(),
+            GatewayEvent::CallerGone => self.revoke(RevocationCause::CallerGone, now),
         }
     }
 
-    /// What to do now, in order. A second attempt is paid for from `budget`.
+    /// The actions to perform now, in order. A second attempt is charged to `budget`.
     pub fn poll(&mut self, budget: &mut RetryBudget, now: Timestamp) -> Vec<GatewayAction> {
         match self.state {
-            State::Sent { .. } if now >= self.deadline => self.stop(RevocationCause::DeadlinePassed, now),
-            State::Revoking { until, .. } if now >= until => self.revocation_failed(),
+            State::Sent { .. } if now >= self.deadline => self.revoke(RevocationCause::DeadlinePassed, now),
+            State::Revoking { until, .. } if now >= until => self.on_revocation_failed(),
             _ => {}
         }
         if matches!(self.state, State::Choosing { .. }) {
-            self.choose(budget, now);
+            self.send_to_next(budget, now);
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`GatewayRequest::poll`] has to be called again even if nothing happens.
+    /// When [`GatewayRequest::poll`] must be called again even if no event occurs.
     pub fn next_poll(&self) -> Option<Timestamp> {
         match &self.state {
             State::Choosing { .. } => Some(Timestamp::ZERO),
@@ -146,24 +146,24 @@
         matches!(self.state, State::Finished)
     }
 
-    /// Pieces of the answer that were dropped.
+    /// Counts of the dropped pieces of the answer.
     pub fn dropped_pieces(&self) -> AssemblerCounters {
         self.answer.counters()
     }
 
-    /// Events of earlier attempts that were dropped.
+    /// Number of dropped events of earlier attempts.
     pub fn stale_events(&self) -> u64 {
         self.stale_events
     }
 
-    fn choose(&mut self, budget: &mut RetryBudget, now: Timestamp) {
-        let State::Choosing { refusal, withdraws } = &self.state else { return };
-        let (refusal, withdraws) = (refusal.clone(), *withdraws);
+    fn send_to_next(&mut self, budget: &mut RetryBudget, now: Timestamp) {
+        let State::Choosing { refusal, charges_budget } = &self.state else { return };
+        let (refusal, charges_budget) = (refusal.clone(), *charges_budget);
         if now >= self.deadline {
             return self.finish_not_run(NotRun::new(NotRunReason::DeadlinePassed));
         }
         let Some(target) = self.next_target() else { return self.finish_not_run(refusal) };
-        if withdraws && !budget.try_withdraw() {
+        if charges_budget && !budget.try_withdraw() {
             return self.finish_not_run(refusal);
         }
         if self.attempts == 0 {
@@ -185,22 +185,22 @@
             .find(|target| !self.revoked_at.contains(&target.dispatcher.address))
     }
 
-    /// Another attempt costs nothing here: neither a dispatcher nor an engine has seen this one.
-    fn not_sent(&mut self) {
+    /// Another attempt is not charged to the retry budget: neither a dispatcher nor an engine has received this one.
+    fn on_not_sent(&mut self) {
         if matches!(self.state, State::Sent { .. }) {
             let refusal = NotRun::new(NotRunReason::DispatcherUnreachable);
-            self.state = State::Choosing { refusal, withdraws: false };
+            self.state = State::Choosing { refusal, charges_budget: false };
         }
     }
 
-    fn piece(&mut self, piece: AnswerPiece) {
+    fn on_piece(&mut self, piece: AnswerPiece) {
         let accepts = matches!(self.state, State::Sent { .. });
         if let Some(piece) = accepts.then(|| self.answer.accept(piece)).flatten() {
             self.actions.push(GatewayAction::Deliver(piece));
         }
     }
 
-    fn ended(&mut self, verdict: Verdict) {
+    fn on_ended(&mut self, verdict: Verdict) {
         let cause = match self.state {
             State::Sent { .. } => None,
             State::Revoking { cause, .. } => Some(cause),
@@ -217,23 +217,24 @@
             Verdict::MayHaveRun(reason) => {
                 self.attempt_may_have_run(cause.map_or(reason, RevocationCause::may_have_run))
             }
-            // A part of the answer is missing here, or it comes from a dispatcher that denies having run the request.
+            // Part of the answer is missing, or the dispatcher denies having run a request that it has answered in
+            // part.
             Verdict::Completed | Verdict::NotRun(_) => {
                 self.attempt_may_have_run(cause.map_or(MayHaveRun::AnswerCut, RevocationCause::may_have_run));
             }
         }
     }
 
-    fn lost(&mut self, peer: Member, now: Timestamp) {
+    fn on_lost(&mut self, peer: Member, now: Timestamp) {
         if !matches!(self.state, State::Sent { .. }) {
             return;
         }
         self.state = State::Sent { peer };
-        self.stop(RevocationCause::ConnectionLost, now);
+        self.revoke(RevocationCause::ConnectionLost, now);
     }
 
-    /// Withdraws the request where it was sent. What the dispatcher answers decides the verdict.
-    fn stop(&mut self, cause: RevocationCause, now: Timestamp) {
+    /// Asks the dispatcher to withdraw the request. Its answer determines the verdict.
+    fn revoke(&mut self, cause: RevocationCause, now: Timestamp) {
         match self.state {
             State::Choosing { .. } => self.finish_not_run(NotRun::new(cause.not_run())),
             State::Sent { .. } if self.answer.is_complete() => self.finish(Verdict::Completed),
@@ -246,9 +247,9 @@
         }
     }
 
-    /// Only the very process that was sent the request can tell that it never started: one that was restarted at the
-    /// same address knows nothing of its predecessor's work.
-    fn revoked(&mut self, from: Member, revocation: Revocation) {
+    /// Only the process that received the request can confirm that it never started: a process restarted at the same
+    /// address doesn't know what its previous incarnation ran.
+    fn on_revoked(&mut self, from: Member, revocation: Revocation) {
         let State::Revoking { peer, cause, .. } = self.state else { return };
         self.revoked_at.insert(peer.address);
         if from == peer && revocation == Revocation::BeforeStart {
@@ -257,7 +258,7 @@
         self.attempt_may_have_run(cause.may_have_run());
     }
 
-    fn revocation_failed(&mut self) {
+    fn on_revocation_failed(&mut self) {
         if let State::Revoking { peer, cause, .. } = self.state {
             self.revoked_at.insert(peer.address);
             self.attempt_may_have_run(cause.may_have_run());
@@ -266,24 +267,25 @@
 
     fn attempt_not_run(&mut self, refusal: NotRun) {
         if refusal.reason.worth_another_try() {
-            self.state = State::Choosing { refusal, withdraws: true };
+            self.state = State::Choosing { refusal, charges_budget: true };
         } else {
             self.finish_not_run(refusal);
         }
     }
 
-    /// The request is sent again if it may run twice; generation then goes on after the tokens that were passed on.
+    /// The request is sent again if it may run twice; generation then resumes after the tokens that were passed on.
     fn attempt_may_have_run(&mut self, reason: MayHaveRun) {
         self.may_have_run = Some(reason);
-        let is_wanted = !matches!(reason, MayHaveRun::CallerGone | MayHaveRun::DeadlinePassed | MayHaveRun::KeyUsed);
-        if self.is_repeatable && is_wanted {
-            self.state = State::Choosing { refusal: NotRun::new(NotRunReason::NoEngine), withdraws: true };
+        let is_answer_wanted =
+            !matches!(reason, MayHaveRun::CallerGone | MayHaveRun::DeadlinePassed | MayHaveRun::KeyUsed);
+        if self.is_repeatable && is_answer_wanted {
+            self.state = State::Choosing { refusal: NotRun::new(NotRunReason::NoEngine), charges_budget: true };
         } else {
             self.finish(Verdict::MayHaveRun(reason));
         }
     }
 
-    /// Ends the request for want of another attempt.
+    /// Ends the request when no further attempt is made.
     fn finish_not_run(&mut self, refusal: NotRun) {
         match self.may_have_run {
             Some(reason) => self.finish(Verdict::MayHaveRun(reason)),
--- a/crates/core/tests/gateway_simulation.rs
+++ b/crates/core/tests/gateway_simulation.rs
@@ -1,4 +1,5 @@
-//! A request's verdict is true, and its answer exact, over lost and late messages, kills, restarts, pauses and cuts.
+//! A request's verdict is correct and its answer exact despite lost and late messages, kills, restarts, pauses and
+//! partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,8 +21,8 @@
 const ANSWER_TOKENS: u32 = 6;
 const TICK: Duration = Duration::from_millis(5);
 
-/// How long the gateway's connections take to notice that nothing comes any more.
-const SILENCE: Duration = Duration::from_millis(150);
+/// How long the gateway waits for data on a connection before it considers the connection lost.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
 fn node(index: u8) -> Address {
     Address(SocketAddr::from(([127, 0, 0, index + 1], 7000)))
@@ -31,22 +32,23 @@
     format!("{}:{token} ", request.0)
 }
 
-fn whole_answer(request: RequestId) -> String {
+fn complete_answer(request: RequestId) -> String {
     (0..ANSWER_TOKENS).map(|token| token_text(request, token)).collect()
 }
 
-/// What passes between the gateway and a dispatcher; `life` is the process that a connection was opened to.
+/// A message between the gateway and a dispatcher; `peer_incarnation` identifies the process that a connection was
+/// opened to.
 #[derive(Clone, Debug)]
 enum Message {
-    Submit { request: RequestId, attempt: AttemptNumber, resume_from: u32, life: Incarnation },
+    Submit { request: RequestId, attempt: AttemptNumber, resume_from: u32, peer_incarnation: Incarnation },
     Revoke { request: RequestId, attempt: AttemptNumber },
     Event { request: RequestId, event: GatewayEvent },
 }
 
-/// A dispatcher with one engine. Its memory is lost with the process.
+/// A dispatcher with one engine. Its state is lost when the process ends.
 #[derive(Default)]
 struct Dispatcher {
-    life: Incarnation,
+    incarnation: Incarnation,
     withdrawn: BTreeSet<RequestId>,
     started: BTreeSet<RequestId>,
     waiting: Vec<Job>,
@@ -60,11 +62,11 @@
     next_token: u32,
 }
 
-struct Passage {
+struct ActiveRequest {
     machine: GatewayRequest,
     can_repeat: bool,
     sent_to: BTreeMap<AttemptNumber, Member>,
-    last_heard: Timestamp,
+    last_received: Timestamp,
     text: String,
     verdict: Option<Verdict>,
 }
@@ -74,10 +76,10 @@
     engine_fault_rate: f64,
     network: VirtualNetwork<Address, Message>,
     dispatchers: BTreeMap<Address, Dispatcher>,
-    lives: BTreeMap<Address, Incarnation>,
+    incarnations: BTreeMap<Address, Incarnation>,
     cut: BTreeSet<Address>,
     paused: BTreeSet<Address>,
-    passages: BTreeMap<RequestId, Passage>,
+    active_requests: BTreeMap<RequestId, ActiveRequest>,
     runs: BTreeMap<RequestId, u32>,
     budget: RetryBudget,
     now: Timestamp,
@@ -90,10 +92,10 @@
             engine_fault_rate,
             network: VirtualNetwork::new(seed, faults),
             dispatchers: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             cut: BTreeSet::new(),
             paused: BTreeSet::new(),
-            passages: BTreeMap::new(),
+            active_requests: BTreeMap::new(),
             runs: BTreeMap::new(),
             budget: RetryBudget::new(RetryBudgetConfig { ratio: 0.5, burst: 20.0 }),
             now: Timestamp::ZERO,
@@ -103,9 +105,9 @@
     }
 
     fn start(&mut self, address: Address) {
-        let life = self.lives.entry(address).or_default();
-        life.0 += 1;
-        self.dispatchers.insert(address, Dispatcher { life: *life, ..Dispatcher::default() });
+        let incarnation = self.incarnations.entry(address).or_default();
+        incarnation.0 += 1;
+        self.dispatchers.insert(address, Dispatcher { incarnation: *incarnation, ..Dispatcher::default() });
         self.network.restart(address);
     }
 
@@ -137,29 +139,29 @@
         self.random.shuffle(&mut order);
         let target = |index: &u8| Target {
             pool: PoolId { model: "model".into(), region: "region".into(), zone: None, shard: u16::from(*index) },
-            dispatcher: Member { address: node(*index), incarnation: self.lives[&node(*index)] },
+            dispatcher: Member { address: node(*index), incarnation: self.incarnations[&node(*index)] },
         };
         let targets = order.iter().map(target).collect();
         let machine =
             GatewayRequest::new(GatewayConfig::default(), &profile, contract_is_repeatable, targets, self.now);
-        let passage = Passage {
+        let active_request = ActiveRequest {
             machine,
             can_repeat: contract_is_repeatable && !has_key,
             sent_to: BTreeMap::new(),
-            last_heard: self.now,
+            last_received: self.now,
             text: String::new(),
             verdict: None,
         };
-        self.passages.insert(request, passage);
+        self.active_requests.insert(request, active_request);
     }
 
     fn poll(&mut self, request: RequestId) {
-        let passage = self.passages.get_mut(&request).expect("a request");
-        for action in passage.machine.poll(&mut self.budget, self.now) {
-            assert_eq!(passage.verdict, None, "something followed the verdict of {request:?}");
+        let active_request = self.active_requests.get_mut(&request).expect("a request");
+        for action in active_request.machine.poll(&mut self.budget, self.now) {
+            assert_eq!(active_request.verdict, None, "an action followed the verdict of {request:?}");
             match action {
-                GatewayAction::Deliver(piece) => passage.text.push_str(&piece.text),
-                GatewayAction::Finish(verdict) => passage.verdict = Some(verdict),
+                GatewayAction::Deliver(piece) => active_request.text.push_str(&piece.text),
+                GatewayAction::Finish(verdict) => active_request.verdict = Some(verdict),
                 GatewayAction::Revoke { attempt, peer } => {
                     let message = Message::Revoke { request, attempt };
                     self.network.send(node(GATEWAY), peer.address, message, self.now);
@@ -168,13 +170,13 @@
                     let address = target.dispatcher.address;
                     let is_reachable = !self.cut.contains(&address) && !self.paused.contains(&address);
                     let Some(dispatcher) = self.dispatchers.get(&address).filter(|_| is_reachable) else {
-                        passage.machine.step(GatewayEvent::NotSent { attempt }, self.now);
+                        active_request.machine.step(GatewayEvent::NotSent { attempt }, self.now);
                         continue;
                     };
-                    let life = dispatcher.life;
-                    passage.sent_to.insert(attempt, Member { address, incarnation: life });
-                    passage.last_heard = self.now;
-                    let message = Message::Submit { request, attempt, resume_from, life };
+                    let peer_incarnation = dispatcher.incarnation;
+                    active_request.sent_to.insert(attempt, Member { address, incarnation: peer_incarnation });
+                    active_request.last_received = self.now;
+                    let message = Message::Submit { request, attempt, resume_from, peer_incarnation };
                     self.network.send(node(GATEWAY), address, message, self.now);
                 }
             }
@@ -184,14 +186,15 @@
     fn receive(&mut self, to: Address, message: Message) {
         match message {
             Message::Event { request, event } => {
-                let passage = self.passages.get_mut(&request).expect("a request");
-                passage.last_heard = self.now;
-                passage.machine.step(event, self.now);
+                let active_request = self.active_requests.get_mut(&request).expect("a request");
+                active_request.last_received = self.now;
+                active_request.machine.step(event, self.now);
                 self.poll(request);
             }
-            Message::Submit { request, attempt, resume_from, life } => {
+            Message::Submit { request, attempt, resume_from, peer_incarnation } => {
                 let refuses = self.random.f64() < 4.0 * self.engine_fault_rate;
-                let Some(dispatcher) = self.dispatchers.get_mut(&to).filter(|dispatcher| dispatcher.life == life)
+                let Some(dispatcher) =
+                    self.dispatchers.get_mut(&to).filter(|dispatcher| dispatcher.incarnation == peer_incarnation)
                 else {
                     return;
                 };
@@ -216,7 +219,7 @@
                     true => Revocation::AfterStart,
                     false => Revocation::BeforeStart,
                 };
-                let from = Member { address: to, incarnation: dispatcher.life };
+                let from = Member { address: to, incarnation: dispatcher.incarnation };
                 self.reply(to, request, GatewayEvent::Revoked { attempt, from, revocation });
             }
         }
@@ -226,8 +229,8 @@
         self.network.send(from, node(GATEWAY), Message::Event { request, event }, self.now);
     }
 
-    /// Each engine starts waiting requests at times, and generates a piece or fails.
-    fn work(&mut self, address: Address) {
+    /// With some probability the engine starts a waiting request, and generates a piece of each running one or fails.
+    fn step_engine(&mut self, address: Address) {
         let Some(dispatcher) = self.dispatchers.get_mut(&address).filter(|_| !self.paused.contains(&address)) else {
             return;
         };
@@ -265,17 +268,17 @@
         }
     }
 
-    /// A connection on which nothing comes is given up; that of a process that has died breaks at once or later.
+    /// Closes connections on which nothing was received for [`SILENCE_TIMEOUT`], and lets random callers disconnect.
     fn check_connections(&mut self) {
-        for request in self.passages.keys().copied().collect::<Vec<_>>() {
-            let passage = self.passages.get_mut(&request).expect("a request");
-            if let Some((attempt, peer)) = passage.sent_to.last_key_value()
-                && self.now.since(passage.last_heard) >= SILENCE
+        for request in self.active_requests.keys().copied().collect::<Vec<_>>() {
+            let active_request = self.active_requests.get_mut(&request).expect("a request");
+            if let Some((attempt, peer)) = active_request.sent_to.last_key_value()
+                && self.now.since(active_request.last_received) >= SILENCE_TIMEOUT
             {
-                passage.machine.step(GatewayEvent::Lost { attempt: *attempt, peer: *peer }, self.now);
+                active_request.machine.step(GatewayEvent::Lost { attempt: *attempt, peer: *peer }, self.now);
             }
             if self.random.u16(0..2_000) == 0 {
-                passage.machine.step(GatewayEvent::CallerGone, self.now);
+                active_request.machine.step(GatewayEvent::CallerGone, self.now);
             }
             self.poll(request);
         }
@@ -320,7 +323,7 @@
             self.receive(delivery.to, delivery.message);
         }
         self.now = until;
-        (1..=DISPATCHERS).for_each(|index| self.work(node(index)));
+        (1..=DISPATCHERS).for_each(|index| self.step_engine(node(index)));
         self.check_connections();
     }
 
@@ -339,27 +342,34 @@
     }
 
     fn check(&self, seed: u64) {
-        for (request, passage) in &self.passages {
+        for (request, active_request) in &self.active_requests {
             let runs = self.runs.get(request).copied().unwrap_or(0);
-            let whole = whole_answer(*request);
-            let verdict = passage.verdict.as_ref().unwrap_or_else(|| panic!("seed {seed}: {request:?} has no verdict"));
-            assert!(whole.starts_with(&passage.text), "seed {seed}: {request:?} got {:?}", passage.text);
+            let expected = complete_answer(*request);
+            let verdict =
+                active_request.verdict.as_ref().unwrap_or_else(|| panic!("seed {seed}: {request:?} has no verdict"));
+            assert!(
+                expected.starts_with(&active_request.text),
+                "seed {seed}: {request:?} got {:?}",
+                active_request.text
+            );
             match verdict {
-                Verdict::Completed => assert_eq!(passage.text, whole, "seed {seed}: a cut answer passed for whole"),
+                Verdict::Completed => {
+                    assert_eq!(active_request.text, expected, "seed {seed}: a truncated answer is reported as complete")
+                }
                 Verdict::NotRun(_) => assert_eq!(runs, 0, "seed {seed}: {request:?} ran, verdict {verdict:?}"),
                 Verdict::MayHaveRun(_) => {}
             }
-            assert!(passage.can_repeat || runs <= 1, "seed {seed}: {request:?} ran {runs} times");
+            assert!(active_request.can_repeat || runs <= 1, "seed {seed}: {request:?} ran {runs} times");
         }
     }
 
-    fn count(&self, predicate: impl Fn(&Passage) -> bool) -> usize {
-        self.passages.values().filter(|passage| predicate(passage)).count()
+    fn count(&self, predicate: impl Fn(&ActiveRequest) -> bool) -> usize {
+        self.active_requests.values().filter(|active_request| predicate(active_request)).count()
     }
 }
 
 #[test]
-fn verdicts_are_true_and_answers_exact_over_faults() {
+fn verdicts_are_correct_and_answers_exact_despite_faults() {
     let faults = NetworkFaults {
         loss: 0.0,
         doubling: 0.05,
@@ -371,13 +381,13 @@
         let mut world = World::new(seed, 0.05, faults);
         world.run(0.04);
         world.check(seed);
-        completed += world.count(|passage| passage.verdict == Some(Verdict::Completed));
-        not_run += world.count(|passage| matches!(passage.verdict, Some(Verdict::NotRun(_))));
-        may_have_run += world.count(|passage| matches!(passage.verdict, Some(Verdict::MayHaveRun(_))));
-        retried += world.count(|passage| passage.sent_to.len() > 1);
+        completed += world.count(|active_request| active_request.verdict == Some(Verdict::Completed));
+        not_run += world.count(|active_request| matches!(active_request.verdict, Some(Verdict::NotRun(_))));
+        may_have_run += world.count(|active_request| matches!(active_request.verdict, Some(Verdict::MayHaveRun(_))));
+        retried += world.count(|active_request| active_request.sent_to.len() > 1);
     }
     let seen = [completed, not_run, may_have_run, retried];
-    assert!(seen.iter().all(|count| *count > 300), "too few of one kind to prove anything: {seen:?}");
+    assert!(seen.iter().all(|count| *count > 300), "too few of one kind for a meaningful test: {seen:?}");
 }
 
 #[test]
@@ -387,12 +397,16 @@
     let mut world = World::new(1, 0.0, faults);
     world.run(0.0);
     world.check(1);
-    let late = |verdict: &Verdict| match verdict {
+    let is_expected = |verdict: &Verdict| match verdict {
         Verdict::NotRun(refusal) => refusal.reason == NotRunReason::DeadlinePassed,
         Verdict::MayHaveRun(reason) => matches!(reason, MayHaveRun::DeadlinePassed | MayHaveRun::CallerGone),
         Verdict::Completed => true,
     };
-    assert_eq!(world.count(|passage| !passage.verdict.as_ref().is_some_and(late)), 0);
-    let completed = world.count(|passage| passage.verdict == Some(Verdict::Completed));
-    assert!(completed * 4 >= world.passages.len() * 3, "{completed} of {} completed", world.passages.len());
+    assert_eq!(world.count(|active_request| !active_request.verdict.as_ref().is_some_and(is_expected)), 0);
+    let completed = world.count(|active_request| active_request.verdict == Some(Verdict::Completed));
+    assert!(
+        completed * 4 >= world.active_requests.len() * 3,
+        "{completed} of {} completed",
+        world.active_requests.len()
+    );
 }
