--- a/crates/core/examples/authority_takeover/main.rs
+++ b/crates/core/examples/authority_takeover/main.rs
@@ -1,10 +1,11 @@
-//! Measures in virtual time how long it takes to take the authority over a pool over, and what it asks of the store.
+//! Measures in virtual time how long a takeover of the authority over a pool takes and how many store operations it
+//! needs.
 //!
 //! `cargo run --release -p havengate-core --example authority_takeover`
 //!
-//! Each row is a number of seeded runs: the holder of a pool is killed, its two successors being prepared, and the
-//! clock stops when the first successor publishes that it holds the authority. The failure detector is a uniform delay
-//! between 0.5 s and 2.5 s, the network takes 0.2 ms to 0.8 ms one way.
+//! Each row summarizes a number of seeded runs: the holder of a pool is killed while its two successors are prepared,
+//! and the measurement ends when the first successor publishes that it holds the authority. The failure detector is
+//! modelled as a uniform delay between 0.5 s and 2.5 s; the network delay is 0.2 ms to 0.8 ms one way.
 
 #[allow(dead_code, reason = "shared with the tests; each program uses a part of it")]
 mod simulation;
@@ -37,7 +38,7 @@
 }
 
 fn take_over(seed: u64, faults: &[Fault]) -> Option<Takeover> {
-    let mut simulation = Simulation::new(seed, SimulationConfig::quiet(NODES, ENGINES));
+    let mut simulation = Simulation::new(seed, SimulationConfig::without_faults(NODES, ENGINES));
     simulation.run(Duration::from_secs(10));
     faults.iter().for_each(|fault| simulation.apply(*fault));
     let operations = simulation.store.operations;
--- a/crates/core/examples/authority_takeover/simulation/engine.rs
+++ b/crates/core/examples/authority_takeover/simulation/engine.rs
@@ -1,4 +1,4 @@
-//! The engines' side of the simulation.
+//! The simulated engines.
 
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
     pub(super) arbiter: EngineArbiter,
     pub(super) done_at: Option<Timestamp>,
     pub(super) crashes_on_orders: bool,
-    pub(super) lagged: Vec<(Timestamp, u32)>,
+    pub(super) load_history: Vec<(Timestamp, u32)>,
 }
 
 impl Simulation {
     pub(super) fn serve(&mut self, index: usize, call: Call) -> OrderReply {
         match call {
-            Call::Store(_) | Call::Nothing | Call::Query => {
+            Call::Store(_) | Call::Unsent | Call::Query => {
                 OrderReply::Accepted(self.engines[index].arbiter.report().clone())
             }
             Call::Fence(term) => {
@@ -48,7 +48,8 @@
         reply
     }
 
-    /// Engines that execute no order are enough; what has crashed on its own is not the orders' doing.
+    /// Checks that enough engines execute no order. Engines that have crashed by a fault count, since no order took
+    /// them out of service.
     pub(super) fn check_floors(&self, changed: usize) {
         let count = |serves: fn(EngineRole) -> bool| {
             let counts =
@@ -65,9 +66,9 @@
     pub(super) fn tick_engine(&mut self, index: usize) {
         let (now, running) = (self.now, self.running(index));
         let engine = &mut self.engines[index];
-        engine.lagged.push((now, running));
-        if engine.lagged.len() > (LOAD_REPORT_LAG.as_millis() / TICK.as_millis()) as usize {
-            engine.lagged.remove(0);
+        engine.load_history.push((now, running));
+        if engine.load_history.len() > (LOAD_REPORT_LAG.as_millis() / TICK.as_millis()) as usize {
+            engine.load_history.remove(0);
         }
         if engine.done_at.is_some_and(|at| at <= now) {
             engine.done_at = None;
--- a/crates/core/examples/authority_takeover/simulation/mod.rs
+++ b/crates/core/examples/authority_takeover/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A pool in virtual time: nodes that control it, its engines, the store, and a network with faults between them.
+//! A simulated pool in virtual time: controlling nodes, engines, the store, and a network with faults between them.
 
 mod checks;
 mod engine;
--- a/crates/core/examples/authority_takeover/simulation/node.rs
+++ b/crates/core/examples/authority_takeover/simulation/node.rs
@@ -1,4 +1,4 @@
-//! The nodes' side of the simulation: what the driver of a `PoolControl` does in a node.
+//! The simulated nodes: each drives a `PoolControl` as a real node does.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A call that waits for its reply.
+/// A call without a reply so far.
 pub(super) struct PendingCall {
     deadline: Timestamp,
     engine: Option<usize>,
@@ -35,9 +35,9 @@
     pub(super) ranking: Vec<Member>,
     pub(super) view_at: Timestamp,
     pub(super) calls: BTreeMap<u64, PendingCall>,
-    /// What the control wanted done when the process was paused.
-    pub(super) unsent: Vec<AuthorityAction>,
-    /// Streams by engine, each with its end.
+    /// Actions of the control that were pending when the process was paused.
+    pub(super) pending_actions: Vec<AuthorityAction>,
+    /// The engine and the end time of each stream.
     pub(super) streams: Vec<(usize, Timestamp)>,
 }
 
@@ -58,12 +58,12 @@
 
     pub(super) fn send_ready(&mut self, index: usize) {
         let actions = self.nodes[index].control.take_ready();
-        self.carry_out(index, actions);
+        self.execute(index, actions);
     }
 
-    pub(super) fn carry_out(&mut self, index: usize, actions: Vec<AuthorityAction>) {
+    pub(super) fn execute(&mut self, index: usize, actions: Vec<AuthorityAction>) {
         if self.nodes[index].paused {
-            self.nodes[index].unsent.extend(actions);
+            self.nodes[index].pending_actions.extend(actions);
             return;
         }
         for action in actions {
@@ -75,7 +75,7 @@
                 }
                 AuthorityAction::SendOrder { engine, order, send_before } => {
                     self.checks.term_used(order.id.term, self.nodes[index].member);
-                    let call = if self.now < send_before { Call::Order(order) } else { Call::Nothing };
+                    let call = if self.now < send_before { Call::Order(order) } else { Call::Unsent };
                     self.call(index, Some(&engine), call);
                 }
                 AuthorityAction::QueryEngine { engine } => self.call(index, Some(&engine), Call::Query),
@@ -90,7 +90,7 @@
         let is_fence = matches!(call, Call::Fence(_));
         let deadline = self.now + CALL_TIMEOUT;
         self.nodes[node].calls.insert(self.last_call, PendingCall { deadline, engine, is_fence });
-        if matches!(call, Call::Nothing) {
+        if matches!(call, Call::Unsent) {
             return;
         }
         let to = engine.map_or(Process::Store, Process::Engine);
@@ -105,9 +105,9 @@
     }
 
     pub(super) fn expire_calls(&mut self, index: usize) {
-        let late = |(id, call): (&u64, &PendingCall)| (call.deadline <= self.now).then_some(*id);
-        let late: Vec<u64> = self.nodes[index].calls.iter().filter_map(late).collect();
-        for id in late {
+        let expired = |(id, call): (&u64, &PendingCall)| (call.deadline <= self.now).then_some(*id);
+        let expired: Vec<u64> = self.nodes[index].calls.iter().filter_map(expired).collect();
+        for id in expired {
             let engine = self.nodes[index].calls[&id].engine;
             let store = Reply::Store(StoreReply::Unknown);
             let reply = engine.map_or(store, |_| Reply::Engine(OrderReply::Unknown));
@@ -128,7 +128,8 @@
         self.send_ready(index);
     }
 
-    /// Streams are placed by a node that ranks itself first, on engines that it believes available and that are.
+    /// Places streams if the node ranks itself first, on engines that are available and that its control reports as
+    /// serving.
     pub(super) fn place_streams(&mut self, index: usize) {
         let now = self.now;
         self.nodes[index].streams.retain(|(_, end)| *end > now);
@@ -147,7 +148,7 @@
 
     pub(super) fn observation(&self, index: usize) -> PoolObservation {
         let activity = |(position, engine): (usize, &Engine)| {
-            let (reported_at, reported) = engine.lagged[0];
+            let (reported_at, reported) = engine.load_history[0];
             let in_flight = in_flight(&self.nodes[index], position);
             (engine.name.clone(), EngineActivity { in_flight, reported, reported_at })
         };
@@ -155,7 +156,7 @@
         PoolObservation { demand: demand(), activity: PoolActivity { engines } }
     }
 
-    /// Something has changed: each node hears of it a while later.
+    /// Schedules the update of each node's view after a change, with a random detection delay.
     pub(super) fn change_views(&mut self) {
         let (shortest, longest) = self.config.detection;
         for index in 0..self.nodes.len() {
@@ -167,14 +168,14 @@
     pub(super) fn update_view(&mut self, index: usize) {
         let alone = self.cut.contains(&index);
         let suspended = alone && self.config.suspends;
-        let sees = |other: usize| {
+        let is_visible = |other: usize| {
             let reachable = !alone && !self.cut.contains(&other);
             let node = &self.nodes[other];
             let seen = other == index || (node.alive && !node.paused && reachable);
             seen && !node.leaving && !suspended
         };
         let ranking: Vec<Member> =
-            (0..self.nodes.len()).filter(|other| sees(*other)).map(|other| self.nodes[other].member).collect();
+            (0..self.nodes.len()).filter(|other| is_visible(*other)).map(|other| self.nodes[other].member).collect();
         let node = &mut self.nodes[index];
         if node.ranking != ranking {
             node.ranking = ranking.clone();
--- a/crates/core/examples/authority_takeover/simulation/store.rs
+++ b/crates/core/examples/authority_takeover/simulation/store.rs
@@ -1,20 +1,20 @@
-//! A store that compares and sets, may be down, may lose replies to writes, and may answer reads from the past.
+//! A compare-and-set store that may be down, may lose replies, and may return stale reads.
 
 use havengate_core::store::{Revision, StoreReply, StoreRequest, StoredObject};
 
 #[derive(Default)]
 pub struct SimulatedStore {
     pub down: bool,
-    /// The share of requests that take effect and whose reply is lost.
+    /// The share of requests that take effect but whose reply is lost.
     pub lost_replies: f64,
-    /// The share of reads that are answered from the past.
+    /// The share of reads that may return an earlier revision.
     pub stale_reads: f64,
     pub operations: u64,
     history: Vec<StoredObject>,
 }
 
 impl SimulatedStore {
-    /// The answer; `None` when none comes.
+    /// The reply; `None` when the store is down or the reply is lost.
     pub fn serve(&mut self, request: StoreRequest, random: &mut fastrand::Rng) -> Option<StoreReply> {
         self.operations += 1;
         if self.down {
--- a/crates/core/examples/authority_takeover/simulation/world.rs
+++ b/crates/core/examples/authority_takeover/simulation/world.rs
@@ -34,8 +34,8 @@
     Fence(Term),
     Order(Order),
     Query,
-    /// Not sent: it ends by the timeout.
-    Nothing,
+    /// A call that is not sent, so that it ends by its timeout.
+    Unsent,
 }
 
 #[derive(Clone, Debug)]
@@ -51,16 +51,16 @@
     Peer(Member, AuthorityMessage),
 }
 
-/// A fault, or its end.
+/// The start or the end of a fault.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     KillNode(usize),
     RestartNode(usize),
     PauseNode(usize),
     ResumeNode(usize),
-    /// The process begins a new life without being restarted: it had suspended itself.
+    /// The process starts a new incarnation without being restarted, as after it had suspended itself.
     RejoinNode(usize),
-    /// The node announces that it leaves: it is still there, and no view ranks it any more.
+    /// The node announces that it leaves: it still runs, but no view ranks it any more.
     LeaveNode(usize),
     /// Cuts the node from the other nodes and from the engines with an index of at least `engines_from`.
     CutNode {
@@ -69,9 +69,9 @@
     },
     Heal,
     CrashEngine(usize),
-    /// The engine's machine is lost: it answers nothing any more.
+    /// The engine's machine is lost: it no longer answers.
     StopEngine(usize),
-    /// The engine crashes in the middle of each order from now on, or no longer.
+    /// Sets whether the engine crashes during the execution of each order from now on.
     CrashOnOrders(usize, bool),
     StoreDown(bool),
 }
@@ -81,17 +81,17 @@
     pub engines: usize,
     pub floors: RoleFloors,
     pub network: NetworkFaults,
-    /// The shortest and longest time until a node's view shows that another has died or come back.
+    /// Minimum and maximum delay until a node's view shows that another node has died or returned.
     pub detection: (Duration, Duration),
-    /// Whether a node that sees no other suspends itself. Otherwise it believes that it comes first.
+    /// Whether a node that sees no other node suspends itself. Otherwise it ranks itself first.
     pub suspends: bool,
-    /// New streams a second that the owner places.
+    /// New streams per second that the owner places.
     pub streams_per_second: f64,
 }
 
 impl SimulationConfig {
-    /// A network without faults and a failure detector as the nodes have it.
-    pub fn quiet(nodes: usize, engines: usize) -> Self {
+    /// A network without faults, and a failure detector with the delays of the real nodes' detector.
+    pub fn without_faults(nodes: usize, engines: usize) -> Self {
         SimulationConfig {
             nodes,
             engines,
@@ -115,7 +115,7 @@
     pub(super) engines: Vec<Engine>,
     pub(super) cut: Vec<usize>,
     pub(super) targets: Vec<EngineTarget>,
-    pub(super) lives: u64,
+    pub(super) last_incarnation: u64,
     pub(super) last_call: u64,
 }
 
@@ -144,7 +144,7 @@
             engines: Vec::new(),
             cut: Vec::new(),
             targets: vec![target(EngineRole::Mixed, 1); config.engines],
-            lives: 0,
+            last_incarnation: 0,
             last_call: 0,
             config,
         };
@@ -157,7 +157,7 @@
                 arbiter,
                 done_at: None,
                 crashes_on_orders: false,
-                lagged: Vec::new(),
+                load_history: Vec::new(),
             });
         }
         for index in 0..simulation.config.nodes {
@@ -194,8 +194,8 @@
             Fault::ResumeNode(node) if self.nodes[node].paused => {
                 self.nodes[node].paused = false;
                 self.network.resume(Process::Node(node), self.now);
-                let unsent = std::mem::take(&mut self.nodes[node].unsent);
-                self.carry_out(node, unsent);
+                let pending_actions = std::mem::take(&mut self.nodes[node].pending_actions);
+                self.execute(node, pending_actions);
             }
             Fault::LeaveNode(node) => self.nodes[node].leaving = true,
             Fault::CrashOnOrders(engine, crashes) => {
@@ -226,19 +226,19 @@
         }
     }
 
-    /// Runs until a node other than `not` publishes that it holds the authority; how long that took.
-    pub fn run_to_takeover(&mut self, not: usize, limit: Duration) -> Option<Duration> {
+    /// Runs until a node other than `excluded` publishes that it holds the authority, and returns the elapsed time.
+    pub fn run_to_takeover(&mut self, excluded: usize, limit: Duration) -> Option<Duration> {
         let start = self.now;
         while self.now.since(start) < limit {
             self.tick();
-            if (0..self.nodes.len()).any(|node| node != not && self.is_holder(node)) {
+            if (0..self.nodes.len()).any(|node| node != excluded && self.is_holder(node)) {
                 return Some(self.now.since(start));
             }
         }
         None
     }
 
-    /// When the node's view shows the last fault or its end.
+    /// When the node's view reflects the last start or end of a fault.
     pub fn view_at(&self, node: usize) -> Timestamp {
         self.nodes[node].view_at
     }
@@ -248,7 +248,7 @@
         node.alive && node.control.status().role == AuthorityRole::Holder
     }
 
-    /// Whether the first node holds the authority, alone, over all engines, and they are what they should be.
+    /// Whether the first node is the only holder, has fenced all engines, and all engines match their targets.
     pub fn is_settled(&self) -> bool {
         let status = self.nodes[0].control.status();
         let alone = (1..self.nodes.len()).all(|node| !self.is_holder(node));
@@ -263,7 +263,7 @@
         &self.nodes[node].control
     }
 
-    /// Whether the first node lets its dispatcher use the engine.
+    /// Whether the first node's dispatcher may use the engine.
     pub fn is_serving(&self, engine: usize) -> bool {
         let available = self.nodes[0].control.availability(&self.engines[engine].name, self.now);
         available == EngineAvailability::Serving
@@ -331,15 +331,15 @@
             ranking: Vec::new(),
             view_at: self.now,
             calls: BTreeMap::new(),
-            unsent: Vec::new(),
+            pending_actions: Vec::new(),
             streams: Vec::new(),
         }
     }
 
     fn new_member(&mut self, index: usize) -> Member {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let address = format!("10.0.0.{}:7000", index + 1).parse().expect("an address");
-        Member { address, incarnation: Incarnation(self.lives) }
+        Member { address, incarnation: Incarnation(self.last_incarnation) }
     }
 
     fn rejoin(&mut self, index: usize) {
@@ -364,7 +364,7 @@
         let node = &mut self.nodes[node];
         (node.alive, node.paused) = (false, false);
         node.streams.clear();
-        node.unsent.clear();
+        node.pending_actions.clear();
     }
 
     fn cut_node(&mut self, node: usize, engines_from: usize) {
--- a/crates/core/src/authority/arbiter.rs
+++ b/crates/core/src/authority/arbiter.rs
@@ -1,10 +1,10 @@
-//! How an engine treats fences and orders, as a pure model: stand-in engines and property tests share it.
+//! An engine's rules for fences and orders, without I/O; simulated engines and property tests share it.
 
 use super::order::{EngineReport, Order, OrderAction, OrderId, OrderRefusal, OrderReply, Term};
 
-/// The order handling of one engine.
+/// Accepts or refuses the fences and orders sent to one engine.
 ///
-/// Holds one order at a time. Nothing changes at the engine when an order is refused, except that an order or fence of a
+/// The engine holds one order at a time. A refused order leaves the engine unchanged; an accepted order or fence of a
 /// higher term raises the fence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineArbiter {
@@ -18,17 +18,17 @@
         EngineArbiter { report: EngineReport { changing: false, ..report }, executing: None }
     }
 
-    /// What the engine says of itself.
+    /// The engine's current state as it reports it.
     pub fn report(&self) -> &EngineReport {
         &self.report
     }
 
-    /// What the engine is executing; [`EngineArbiter::complete`] has to follow when it is done.
+    /// The action that the engine is executing. The engine must call [`EngineArbiter::complete`] when it is done.
     pub fn executing(&self) -> Option<&OrderAction> {
         self.executing.as_ref()
     }
 
-    /// Raises the fence to `term`. An equal fence is accepted again, so that a repeated message does no harm.
+    /// Raises the fence to `term`. An equal term is accepted again, so that repeated messages are harmless.
     pub fn raise_fence(&mut self, term: Term) -> OrderReply {
         if term < self.report.fence {
             return self.refuse(OrderRefusal::StaleTerm);
@@ -37,7 +37,7 @@
         OrderReply::Accepted(self.report.clone())
     }
 
-    /// Accepts an order, which then is being executed, or refuses it.
+    /// Accepts an order and starts to execute it, or refuses it.
     ///
     /// The order that the engine already holds is accepted again without a second execution.
     pub fn order(&mut self, order: &Order) -> OrderReply {
@@ -53,7 +53,7 @@
         OrderReply::Accepted(self.report.clone())
     }
 
-    /// Ends the execution of the order: the engine now has the role or the weights that it asked for.
+    /// Completes the execution of the order: the engine now has the role or the weights that the order requested.
     pub fn complete(&mut self) {
         match self.executing.take() {
             Some(OrderAction::SetRole(role)) => self.report.role = role,
@@ -67,13 +67,13 @@
         self.report.changing = false;
     }
 
-    /// Ends the execution of the order without an effect, for example when the weights can't be loaded.
+    /// Aborts the execution of the order without effect, for example when the weights can't be loaded.
     pub fn abort(&mut self) {
         self.executing = None;
         self.report.changing = false;
     }
 
-    /// The engine's process starts anew: it has lost its fence and its order, and what it was executing.
+    /// Restarts the engine's process as `incarnation`: its fence, its order and any running execution are lost.
     pub fn restart(&mut self, incarnation: u64) {
         self.abort();
         self.report.fence = Term::default();
@@ -82,7 +82,7 @@
         self.report.incarnation = incarnation;
     }
 
-    /// Announces that the engine is about to stop.
+    /// Sets whether the engine reports that it is about to stop.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.report.leaving = leaving;
     }
--- a/crates/core/src/authority/config.rs
+++ b/crates/core/src/authority/config.rs
@@ -1,10 +1,10 @@
-//! The limits of the authority over a pool and of the changes that its holder makes.
+//! Configuration of the authority over a pool and of the engine changes that its holder makes.
 
 use std::time::Duration;
 
 use displaydoc::Display;
 
-/// What is wrong with a configuration of the authority.
+/// Why a configuration of the authority is invalid.
 #[derive(Clone, Debug, Display, PartialEq, Eq, thiserror::Error)]
 pub enum AuthorityError {
     /// `{0}` must be longer than zero
@@ -20,34 +20,35 @@
     },
 }
 
-/// Limits of acquiring and keeping the authority over a pool.
+/// Timing of acquiring and keeping the authority over a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuthorityConfig {
-    /// Wait after the first failed request to the store. The store is slow and limited in rate.
+    /// Wait after the first failed request to the store. The store is slow and rate-limited.
     pub store_retry_minimum: Duration,
-    /// The longest wait between two requests to a store that keeps failing; it bounds how soon a recovery is noticed.
+    /// Longest wait between two requests to a store that keeps failing. It bounds the time to notice a recovery.
     pub store_retry_maximum: Duration,
-    /// Wait between two attempts to raise the fence at an engine that did not answer.
+    /// Wait between two attempts to raise the fence at an engine that does not answer.
     pub fence_retry: Duration,
-    /// A candidate waits this long for the first answers of all engines, then acts without those that are missing. With
-    /// the time to detect a death it has to stay below the 5 s in which authority is to be taken over.
+    /// How long a candidate waits for the first answers of all engines before it continues without the missing ones.
+    /// Together with the failure detection time it must stay below the takeover target of 5 s.
     pub fence_patience: Duration,
-    /// A longer gap between two steps means that the process was paused: a holder raises all fences anew before it acts.
-    /// It has to lie well above the interval of ticks.
+    /// A longer gap between two steps means that the process was paused: a holder raises all fences again before it
+    /// acts. The limit must be well above the tick interval.
     pub pause_limit: Duration,
-    /// Wait between two messages to a successor that has not acknowledged its term.
+    /// Wait between two announcements to a successor that has not acknowledged its term.
     pub announce_interval: Duration,
-    /// Wait after authority was lost to a higher term before it is sought again. It keeps two nodes with different views
-    /// of who is alive from taking the pool from each other without pause.
+    /// Wait after the authority is lost to a higher term before this node tries to acquire it again. It keeps two nodes
+    /// with different membership views from taking the pool from each other continuously.
     pub reacquire_delay: Duration,
-    /// How long another node that has dispatched or held the pool before may go on unaware, and how long its last orders
-    /// may stay on their way. After gaining authority no order goes out for this long; a node that is ranked first and
-    /// gets no authority, since the store is down and no term was allocated ahead, waits as long before it uses engines
-    /// that it can't fence.
+    /// Upper bound on how long a previous dispatcher or holder of the pool may continue without noticing its
+    /// replacement, and on how long its last orders may be in transit. A new holder sends no order for this long. A
+    /// node that is ranked first but can't acquire the authority, because the store is down and no term was allocated
+    /// in advance, waits as long before it uses engines that it can't fence.
     pub settle: Duration,
-    /// An order that the caller has not sent within this time must not be sent any more: the process was paused.
+    /// The caller must drop an order that it has not sent within this time, because the process was paused.
     pub send_within: Duration,
-    /// How long a hand-over counts as an invitation while the own view of the members does not rank this node first yet.
+    /// How long a hand-over entitles this node to acquire the authority although its own membership view does not rank
+    /// it first yet.
     pub invitation: Duration,
 }
 
@@ -90,30 +91,31 @@
     }
 }
 
-/// Limits of changing the roles and weights of a pool's engines.
+/// Limits on changing the roles and weights of a pool's engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleChangeConfig {
-    /// The most engines that drain or change at once; each is out of service for seconds.
+    /// Maximum number of engines that drain or change at once; each is out of service for seconds.
     pub concurrent_changes: usize,
-    /// The most engines of the pool that load weights at once: the platform's weight store is limited in rate.
+    /// Maximum number of the pool's engines that load weights at once: the platform's weight store is rate-limited.
     pub concurrent_loads: usize,
-    /// The shortest drain: by then every placement decided before the drain shows in the counts of running work.
+    /// Minimum drain time, after which every placement decided before the drain is included in the counts of running
+    /// work.
     pub drain_minimum: Duration,
-    /// A drain that lasts longer is called off: the engine serves again, no stream is cut.
+    /// A drain that lasts longer is cancelled: the engine serves again and no stream is cut.
     pub drain_limit: Duration,
-    /// Wait before an engine whose drain was called off is drained again.
+    /// Wait before an engine whose drain was cancelled is drained again.
     pub drain_retry: Duration,
-    /// An engine that takes longer to execute an order is reported as stuck and no longer counts as changing; it stays
-    /// out of service until it answers.
+    /// An engine that takes longer to execute an order is reported as stuck and no longer counts towards
+    /// `concurrent_changes`; it stays out of service until it answers.
     pub change_limit: Duration,
-    /// How often a change is tried before it is given up, until the target changes.
+    /// Number of failed attempts after which a change is given up until the target changes.
     pub attempts: u32,
     /// Wait after a failed attempt.
     pub retry_delay: Duration,
-    /// Wait between two questions to an engine that is executing an order, and between two sendings of an order whose
-    /// reply was lost.
+    /// Wait between two queries to an engine that is executing an order, and between two transmissions of an order
+    /// whose reply was lost.
     pub verify_interval: Duration,
-    /// Wait between two questions to an idle engine. It bounds how long a restart goes unnoticed.
+    /// Wait between two queries to an engine that is not changing. It bounds the time to notice a restart.
     pub query_interval: Duration,
 }
 
@@ -138,7 +140,7 @@
     /// Checks the limits against each other.
     ///
     /// # Errors
-    /// When a count or a duration is zero, or the shortest drain is longer than the longest.
+    /// When a count or a duration is zero, or the minimum drain time is longer than the drain limit.
     pub fn validate(&self) -> Result<(), AuthorityError> {
         let counts = [
             ("concurrent_changes", self.concurrent_changes),
--- a/crates/core/src/authority/control.rs
+++ b/crates/core/src/authority/control.rs
@@ -1,4 +1,4 @@
-//! What a node runs for each pool that it is ranked for: authority, role policy and role changes together.
+//! The control of one pool on a node that is ranked for it: authority, role policy and role changes.
 
 use std::time::Duration;
 
@@ -16,14 +16,15 @@
 use crate::time::Timestamp;
 use crate::world::{EngineName, PoolId};
 
-/// Limits of the control of a pool.
+/// Configuration of the control of a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolControlConfig {
     /// Limits of the authority.
     pub authority: AuthorityConfig,
     /// Limits of role changes and loads.
     pub changes: RoleChangeConfig,
-    /// Wait between two decisions of the role policy; demand is averaged over seconds, so more often shows nothing new.
+    /// Wait between two decisions of the role policy. Demand is averaged over seconds, so a shorter interval adds no
+    /// information.
     pub decision_interval: Duration,
 }
 
@@ -38,10 +39,10 @@
 }
 
 impl PoolControlConfig {
-    /// Checks the limits.
+    /// Checks the configuration.
     ///
     /// # Errors
-    /// When a limit of a part is wrong, or the interval of decisions is zero.
+    /// When the authority or the change limits are invalid, or the decision interval is zero.
     pub fn validate(&self) -> Result<(), AuthorityError> {
         self.authority.validate()?;
         self.changes.validate()?;
@@ -52,10 +53,10 @@
     }
 }
 
-/// What a node tells the control of a pool about its work.
+/// What a node reports to the control of a pool about the current work.
 #[derive(Clone, Debug)]
 pub struct PoolObservation {
-    /// The demand; the roles in it are filled in by the control.
+    /// The demand; the control fills in its roles.
     pub demand: PoolDemand,
     /// The work on each engine.
     pub activity: PoolActivity,
@@ -63,8 +64,8 @@
 
 /// Controls one pool.
 ///
-/// The caller feeds it inputs and ticks (several a second), carries out the actions at once, and hands each engine's
-/// availability to the dispatcher before the next observation.
+/// The caller supplies inputs and ticks (several per second), executes the actions immediately, and passes each
+/// engine's availability to the dispatcher before the next observation.
 pub struct PoolControl {
     config: PoolControlConfig,
     authority: PoolAuthority,
@@ -73,13 +74,13 @@
     policy: Option<Box<dyn RolePolicy>>,
     shadows: Vec<ShadowRolePolicy>,
     observation: Option<PoolObservation>,
-    /// The acting policy's last decision under the present authority.
-    decided: Option<TargetRoles>,
+    /// The acting policy's last decision under the current authority.
+    decided_roles: Option<TargetRoles>,
     next_decision: Timestamp,
 }
 
 impl PoolControl {
-    /// A control without engines, in the part of a follower.
+    /// Creates a control without engines, as a follower.
     pub fn new(config: PoolControlConfig, pool: PoolId, me: Member, now: Timestamp) -> Self {
         let AuthorityConfig { send_within, settle, .. } = config.authority;
         PoolControl {
@@ -90,13 +91,13 @@
             policy: None,
             shadows: Vec::new(),
             observation: None,
-            decided: None,
+            decided_roles: None,
             next_decision: now,
         }
     }
 
-    /// Replaces the engines, what configuration wants them to be, and the floors. While a policy acts, it decides the
-    /// roles and configuration the rest.
+    /// Replaces the engines, their configured targets, and the floors. While a policy is set, it decides the roles and
+    /// the configuration decides the rest.
     pub fn set_engines(&mut self, specifications: Vec<EngineSpecification>, floors: RoleFloors, now: Timestamp) {
         let engines = specifications.iter().map(|wanted| wanted.engine.clone()).collect();
         self.specifications = specifications;
@@ -105,30 +106,30 @@
         self.step(AuthorityInput::Engines(engines), now);
     }
 
-    /// Replaces the acting policy; without one, configuration gives the roles.
+    /// Replaces the acting policy. Without one, the configuration decides the roles.
     pub fn set_policy(&mut self, policy: Option<Box<dyn RolePolicy>>) {
         self.policy = policy;
-        self.decided = None;
+        self.decided_roles = None;
         self.set_targets();
     }
 
-    /// Replaces the policies that only report what they would have done.
+    /// Replaces the shadow policies, which only report what they would have done.
     pub fn set_shadows(&mut self, shadows: Vec<ShadowRolePolicy>) {
         self.shadows = shadows;
     }
 
-    /// This process begins a new life as `me`: it is a follower, and owns no term of the former life.
+    /// Starts a new incarnation of this process as `me`: a follower that owns no term of the previous incarnation.
     pub fn rejoin(&mut self, me: Member, now: Timestamp) {
         self.authority.rejoin(me, now);
-        self.pass_events(now);
+        self.forward_events(now);
         self.changer.rejoin(now);
-        self.decided = None;
+        self.decided_roles = None;
     }
 
-    /// Takes in what has happened.
+    /// Applies an input.
     pub fn step(&mut self, input: AuthorityInput, now: Timestamp) {
         self.authority.step(input.clone(), now);
-        self.pass_events(now);
+        self.forward_events(now);
         match input {
             AuthorityInput::EngineReply { engine, reply } => self.changer.engine_reply(&engine, reply, now),
             AuthorityInput::EngineReport { engine, report } => self.changer.engine_report(&engine, report, now),
@@ -136,28 +137,28 @@
         }
     }
 
-    /// Takes in the work on the pool as it is now.
+    /// Records the current work on the pool.
     pub fn observe(&mut self, observation: PoolObservation) {
         self.observation = Some(observation);
     }
 
-    /// Lets time pass; to be called several times a second.
+    /// Advances the clock to `now`. Must be called several times per second.
     pub fn tick(&mut self, now: Timestamp) {
         self.authority.tick(now);
-        self.pass_events(now);
+        self.forward_events(now);
         self.decide(now);
         let activity = self.observation.as_ref().map(|observation| observation.activity.clone()).unwrap_or_default();
         self.changer.tick(self.authority.order_term(), &activity, now);
     }
 
-    /// What to do now, in order.
+    /// Takes the pending actions, in order.
     pub fn take_ready(&mut self) -> Vec<AuthorityAction> {
         let mut actions = self.authority.take_ready();
         actions.extend(self.changer.take_ready());
         actions
     }
 
-    /// The changes of engines completed since the last call.
+    /// Takes the engine changes completed since the last call.
     pub fn take_completed(&mut self) -> Vec<CompletedChange> {
         self.changer.take_completed()
     }
@@ -177,17 +178,17 @@
         self.changer.states(now)
     }
 
-    /// What the changes have cost.
+    /// Counters of the changes and their cost.
     pub fn counters(&self) -> ChangeCounters {
         self.changer.counters()
     }
 
-    /// What the policies in shadow would have done.
+    /// What the shadow policies would have done.
     pub fn shadow_reports(&self) -> Vec<ShadowReport> {
         self.shadows.iter().map(|shadow| shadow.report().clone()).collect()
     }
 
-    fn pass_events(&mut self, now: Timestamp) {
+    fn forward_events(&mut self, now: Timestamp) {
         for event in self.authority.take_events() {
             self.changer.authority_event(event, now);
         }
@@ -195,7 +196,7 @@
 
     fn decide(&mut self, now: Timestamp) {
         if self.authority.order_term().is_none() {
-            self.decided = None;
+            self.decided_roles = None;
             return;
         }
         if now < self.next_decision {
@@ -210,18 +211,19 @@
         if let Some(acting) = &mut self.policy {
             let wanted = acting.desired(&demand, now);
             let candidates = self.changer.role_candidates(&observation.activity);
-            self.decided = Some(TargetRoles::choose(&candidates, wanted));
+            self.decided_roles = Some(TargetRoles::choose(&candidates, wanted));
         }
         self.set_targets();
     }
 
-    /// Roles come from the policy's decision; before the first one, engines keep the roles that they have.
+    /// Sets the engines' targets. With a policy, roles come from its last decision; before the first decision, engines
+    /// keep their current roles.
     fn set_targets(&mut self) {
         let mut specifications = self.specifications.clone();
         for wanted in specifications.iter_mut().filter(|_| self.policy.is_some()) {
-            let decided = self.decided.as_ref().and_then(|decided| decided.roles.get(&wanted.engine).copied());
-            let kept = || self.changer.reported_role(&wanted.engine);
-            wanted.target.role = decided.or_else(kept).unwrap_or(wanted.target.role);
+            let decided = self.decided_roles.as_ref().and_then(|decided| decided.roles.get(&wanted.engine).copied());
+            let current = || self.changer.reported_role(&wanted.engine);
+            wanted.target.role = decided.or_else(current).unwrap_or(wanted.target.role);
         }
         self.changer.set_targets(&specifications);
     }
--- a/crates/core/src/authority/engine_change.rs
+++ b/crates/core/src/authority/engine_change.rs
@@ -9,44 +9,44 @@
 use crate::time::Timestamp;
 use crate::world::EngineRole;
 
-/// Where the change of an engine stands.
+/// The phase of an engine's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     Steady,
     Draining {
         since: Timestamp,
     },
-    /// The order was sent and its fate is unknown. It may still arrive, so it is not replaced, but sent again.
+    /// The order was sent and its outcome is unknown. It may still arrive, so it is sent again rather than replaced.
     Ordered {
         order: Order,
         since: Timestamp,
     },
-    /// The engine is executing an order: this holder's, or one that an earlier holder left.
+    /// The engine is executing an order: this holder's, or an earlier holder's (`None`).
     Changing {
         order: Option<Order>,
         since: Timestamp,
     },
 }
 
-/// A call to the engine that is under way. At most one is, so an answer is newer than all answers before it.
+/// A pending call to the engine. At most one is pending, so each answer is newer than all earlier answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Call {
     started: Timestamp,
-    /// A fence was raised meanwhile: the answer may be older than what the fence has told.
+    /// A fence was raised during the call: the answer may be older than the report that came with the fence.
     outdated: bool,
 }
 
-/// What a step of the change has led to, for the counters.
+/// The outcome of a step of the change, for the counters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ChangeOutcome {
     Nothing,
-    /// The order has been executed; the engine was out of service for so long.
+    /// The order has been executed; `out_of_service` counts from the start of the drain.
     Done {
         order: Order,
         role_before: EngineRole,
         out_of_service: Duration,
     },
-    CalledOff,
+    DrainCancelled,
     Failed,
     GivenUp,
 }
@@ -60,13 +60,13 @@
     pub(super) report: Option<EngineReport>,
     pub(super) fenced: bool,
     pub(super) call: Option<Call>,
-    pub(super) unanswered: u32,
+    pub(super) unanswered_calls: u32,
     attempts: u32,
     pub(super) retry_at: Timestamp,
     next_call: Timestamp,
-    /// Set when the authority was lost while an order was in doubt. Others may have placed work on the engine since, so
-    /// the order is not sent again; from then on no copy of it is on its way any more.
-    doubt_ends: Option<Timestamp>,
+    /// Set when the authority is lost while the outcome of an order is unknown. Other nodes may have placed work on the
+    /// engine since, so the order is not sent again. After this time no copy of the order can be in transit.
+    unresolved_until: Option<Timestamp>,
 }
 
 impl EngineChange {
@@ -78,11 +78,11 @@
             report: None,
             fenced: false,
             call: None,
-            unanswered: 0,
+            unanswered_calls: 0,
             attempts: 0,
             retry_at: Timestamp::ZERO,
             next_call: Timestamp::ZERO,
-            doubt_ends: None,
+            unresolved_until: None,
         }
     }
 
@@ -90,7 +90,7 @@
         self.report.as_ref()
     }
 
-    /// A new target is worth new attempts, unless it is what the engine is anyway.
+    /// Sets the target. A new target resets the attempts, unless the engine already matches it.
     pub(super) fn set_target(&mut self, target: Option<EngineTarget>) {
         if self.target == target {
             return;
@@ -103,19 +103,19 @@
         }
     }
 
-    /// The engine is no longer fenced, or the authority is lost. A drain is called off; an order on its way stays in
-    /// doubt until `doubt_ends`.
-    pub(super) fn suspend(&mut self, doubt_ends: Timestamp) {
+    /// Handles the loss of the engine's fence or of the authority. A drain is cancelled; a sent order stays unresolved
+    /// until `unresolved_until`.
+    pub(super) fn suspend(&mut self, unresolved_until: Timestamp) {
         self.fenced = false;
         match self.phase {
             Phase::Draining { .. } => self.phase = Phase::Steady,
-            Phase::Ordered { .. } => self.doubt_ends = Some(doubt_ends),
+            Phase::Ordered { .. } => self.unresolved_until = Some(unresolved_until),
             Phase::Steady | Phase::Changing { .. } => {}
         }
     }
 
-    /// The fence is raised under `term` and the engine has told what it is.
-    pub(super) fn fence(
+    /// Applies the report of an engine whose fence was raised under `term`.
+    pub(super) fn apply_fence(
         &mut self,
         term: Term,
         report: EngineReport,
@@ -123,20 +123,25 @@
         config: &RoleChangeConfig,
     ) -> ChangeOutcome {
         self.fenced = true;
-        self.unanswered = 0;
+        self.unanswered_calls = 0;
         self.next_call = now + config.query_interval;
         if let Some(call) = &mut self.call {
             call.outdated = true;
         }
-        let refused_from_now_on = |order: &Order| order.id.term < term && report.order != Some(order.id);
-        if matches!(&self.phase, Phase::Ordered { order, .. } if refused_from_now_on(order)) {
+        let fenced_off = |order: &Order| order.id.term < term && report.order != Some(order.id);
+        if matches!(&self.phase, Phase::Ordered { order, .. } if fenced_off(order)) {
             self.phase = Phase::Steady;
         }
-        self.settle(report, now, config)
+        self.apply_report(report, now, config)
     }
 
-    /// The answer to the call that is under way.
-    pub(super) fn answer(&mut self, reply: OrderReply, now: Timestamp, config: &RoleChangeConfig) -> ChangeOutcome {
+    /// Applies the reply to the pending call.
+    pub(super) fn apply_reply(
+        &mut self,
+        reply: OrderReply,
+        now: Timestamp,
+        config: &RoleChangeConfig,
+    ) -> ChangeOutcome {
         let Some(call) = self.call.take() else { return ChangeOutcome::Nothing };
         self.next_call = now + self.call_interval(config);
         if call.outdated {
@@ -144,30 +149,31 @@
         }
         match reply {
             OrderReply::Unknown => {
-                self.unanswered = self.unanswered.saturating_add(1);
+                self.unanswered_calls = self.unanswered_calls.saturating_add(1);
                 ChangeOutcome::Nothing
             }
             OrderReply::Accepted(report) => {
-                self.unanswered = 0;
-                self.end_doubt(call.started, &report);
-                self.settle(report, now, config)
+                self.unanswered_calls = 0;
+                self.drop_expired_order(call.started, &report);
+                self.apply_report(report, now, config)
             }
             OrderReply::Refused(refusal, report) => {
-                self.unanswered = 0;
-                self.refused(refusal, report, now, config)
+                self.unanswered_calls = 0;
+                self.apply_refusal(refusal, report, now, config)
             }
         }
     }
 
-    /// A report that answers no call. It may be older than what is known, so it counts only while nothing better is.
+    /// Applies a report that answers no call. It may be outdated, so it is used only while the engine is unfenced and
+    /// no order is unresolved.
     pub(super) fn observe(&mut self, report: EngineReport, now: Timestamp, config: &RoleChangeConfig) {
         if !self.fenced && !matches!(self.phase, Phase::Ordered { .. }) {
-            self.settle(report, now, config);
+            self.apply_report(report, now, config);
         }
     }
 
-    /// A refusal of an order is final: what the engine holds instead stays in its way, or its life is over.
-    fn refused(
+    /// Applies the refusal of an order. It is final: the engine holds another order, or its incarnation has ended.
+    fn apply_refusal(
         &mut self,
         refusal: OrderRefusal,
         report: EngineReport,
@@ -175,22 +181,22 @@
         config: &RoleChangeConfig,
     ) -> ChangeOutcome {
         if !matches!(self.phase, Phase::Ordered { .. }) {
-            return self.settle(report, now, config);
+            return self.apply_report(report, now, config);
         }
         self.phase = Phase::Steady;
         let reason = match refusal {
-            // The authority is lost; the engine is not to blame.
-            OrderRefusal::StaleTerm => return self.settle(report, now, config),
+            // The authority is lost; the refusal is no failure of the engine.
+            OrderRefusal::StaleTerm => return self.apply_report(report, now, config),
             OrderRefusal::OtherIncarnation => GiveUpReason::Crashed,
             OrderRefusal::ReplacesOther | OrderRefusal::Busy => GiveUpReason::Refused,
         };
-        self.settle(report, now, config);
+        self.apply_report(report, now, config);
         self.fail(reason, now, config)
     }
 
-    /// Compares what the engine says with what it was told.
-    fn settle(&mut self, report: EngineReport, now: Timestamp, config: &RoleChangeConfig) -> ChangeOutcome {
-        self.forget_replaced_order(&report);
+    /// Compares the engine's report with the order that it was sent, and updates the phase.
+    fn apply_report(&mut self, report: EngineReport, now: Timestamp, config: &RoleChangeConfig) -> ChangeOutcome {
+        self.drop_replaced_order(&report);
         let phase = std::mem::replace(&mut self.phase, Phase::Steady);
         let outcome = match phase {
             Phase::Draining { since } if !report.changing => {
@@ -198,14 +204,14 @@
                 ChangeOutcome::Nothing
             }
             Phase::Steady | Phase::Draining { .. } => {
-                self.forgive_restarted(&report);
+                self.reset_give_up_on_restart(&report);
                 if report.changing {
                     self.phase = Phase::Changing { order: None, since: now };
                 }
                 ChangeOutcome::Nothing
             }
             Phase::Ordered { order, since } | Phase::Changing { order: Some(order), since } => {
-                self.settle_order(order, since, &report, now, config)
+                self.apply_order_report(order, since, &report, now, config)
             }
             Phase::Changing { order: None, since } => {
                 if report.changing {
@@ -218,31 +224,31 @@
         outcome
     }
 
-    /// An order that the engine had accepted and no longer holds was replaced by another holder's.
-    fn forget_replaced_order(&mut self, report: &EngineReport) {
+    /// Drops an order that the engine had accepted and no longer holds: another holder's order has replaced it.
+    fn drop_replaced_order(&mut self, report: &EngineReport) {
         let replaced = |order: &Order| order.engine_incarnation == report.incarnation && report.order != Some(order.id);
         if matches!(&self.phase, Phase::Changing { order: Some(order), .. } if replaced(order)) {
             self.phase = Phase::Steady;
         }
     }
 
-    /// Forgets an order that can't arrive any more, when the engine has not got it by then.
-    fn end_doubt(&mut self, asked_at: Timestamp, report: &EngineReport) {
-        let ended = self.doubt_ends.is_some_and(|ends| asked_at >= ends);
-        let missed = |order: &Order| report.order != Some(order.id);
-        if ended && matches!(&self.phase, Phase::Ordered { order, .. } if missed(order)) {
+    /// Drops an unresolved order that can no longer arrive and that the engine has not received.
+    fn drop_expired_order(&mut self, call_started: Timestamp, report: &EngineReport) {
+        let expired = self.unresolved_until.is_some_and(|until| call_started >= until);
+        let not_received = |order: &Order| report.order != Some(order.id);
+        if expired && matches!(&self.phase, Phase::Ordered { order, .. } if not_received(order)) {
             self.phase = Phase::Steady;
         }
     }
 
-    /// A restart may have mended what a change was given up for.
-    fn forgive_restarted(&mut self, report: &EngineReport) {
+    /// Allows new attempts after a restart, which may have removed the reason for giving up.
+    fn reset_give_up_on_restart(&mut self, report: &EngineReport) {
         if self.report.as_ref().is_some_and(|known| known.incarnation != report.incarnation) {
             self.given_up = None;
         }
     }
 
-    fn settle_order(
+    fn apply_order_report(
         &mut self,
         order: Order,
         since: Timestamp,
@@ -261,7 +267,7 @@
             self.phase = Phase::Changing { order: Some(order), since };
             return ChangeOutcome::Nothing;
         }
-        if !has_effect(&order, report) {
+        if !is_effective(&order, report) {
             return self.fail(GiveUpReason::NotEffective, now, config);
         }
         self.attempts = 0;
@@ -287,33 +293,33 @@
         self.phase = Phase::Draining { since: now };
     }
 
-    /// Returns the engine to service without an order.
-    pub(super) fn call_off(&mut self, now: Timestamp, wait: Duration) -> ChangeOutcome {
+    /// Cancels the drain and returns the engine to service without an order.
+    pub(super) fn cancel_drain(&mut self, now: Timestamp, wait: Duration) -> ChangeOutcome {
         self.phase = Phase::Steady;
         self.retry_at = now + wait;
-        ChangeOutcome::CalledOff
+        ChangeOutcome::DrainCancelled
     }
 
-    /// Makes the order that the drained engine gets; `since` counts its time out of service.
-    pub(super) fn give_order(&mut self, id: OrderId, now: Timestamp) -> Option<Order> {
+    /// Creates the order for the drained engine. Its time out of service counts from the start of the drain.
+    pub(super) fn create_order(&mut self, id: OrderId, now: Timestamp) -> Option<Order> {
         let Phase::Draining { since } = self.phase else { return None };
         let action = self.next_action()?;
         let report = self.report.as_ref()?;
         let order = Order { id, engine_incarnation: report.incarnation, replaces: report.order, action };
         self.phase = Phase::Ordered { order: order.clone(), since };
-        self.doubt_ends = None;
+        self.unresolved_until = None;
         self.call = Some(Call { started: now, outdated: false });
         Some(order)
     }
 
-    /// The call that is due now, if any: the order in doubt once more, or a query (`None` inside).
+    /// Starts the call that is due at `now`, if any: the unresolved order again, or a query (inner `None`).
     pub(super) fn due_call(&mut self, term: Term, now: Timestamp) -> Option<Option<Order>> {
         if !self.fenced || self.call.is_some() || now < self.next_call {
             return None;
         }
         self.call = Some(Call { started: now, outdated: false });
         match &self.phase {
-            Phase::Ordered { order, .. } if order.id.term == term && self.doubt_ends.is_none() => {
+            Phase::Ordered { order, .. } if order.id.term == term && self.unresolved_until.is_none() => {
                 Some(Some(order.clone()))
             }
             _ => Some(None),
@@ -322,13 +328,13 @@
 
     fn call_interval(&self, config: &RoleChangeConfig) -> Duration {
         match self.phase {
-            Phase::Steady | Phase::Draining { .. } if self.unanswered == 0 => config.query_interval,
+            Phase::Steady | Phase::Draining { .. } if self.unanswered_calls == 0 => config.query_interval,
             _ => config.verify_interval,
         }
     }
 }
 
-fn has_effect(order: &Order, report: &EngineReport) -> bool {
+fn is_effective(order: &Order, report: &EngineReport) -> bool {
     match &order.action {
         OrderAction::SetRole(role) => report.role == *role,
         OrderAction::Load { model, version, adapter } => {
--- a/crates/core/src/authority/engine_readiness.rs
+++ b/crates/core/src/authority/engine_readiness.rs
@@ -1,4 +1,4 @@
-//! What may be done with an engine now: questions about its change that alter nothing.
+//! Read-only queries on an engine's change: what may be done with the engine now.
 
 use super::config::RoleChangeConfig;
 use super::engine_change::{EngineChange, Phase};
@@ -7,23 +7,24 @@
 use crate::dispatch::EngineAvailability;
 use crate::time::Timestamp;
 
-/// Questions in a row that an engine leaves unanswered before it counts as lost.
-const LOST_AFTER: u32 = 2;
+/// Consecutive unanswered calls after which an engine counts as lost.
+const LOST_AFTER_UNANSWERED_CALLS: u32 = 2;
 
 impl EngineChange {
-    /// Whether the engine takes work and can be counted on for the floors.
+    /// Whether the engine accepts work and counts for the floors.
     pub(super) fn is_serving(&self) -> bool {
-        let well = |report: &EngineReport| !report.changing && !report.leaving;
-        self.phase == Phase::Steady && self.fenced && !self.is_lost() && self.report.as_ref().is_some_and(well)
+        let accepts_work = |report: &EngineReport| !report.changing && !report.leaving;
+        self.phase == Phase::Steady && self.fenced && !self.is_lost() && self.report.as_ref().is_some_and(accepts_work)
     }
 
-    /// Whether a drain may begin.
-    pub(super) fn wants_change(&self, now: Timestamp) -> bool {
+    /// Whether a drain may start.
+    pub(super) fn can_start_drain(&self, now: Timestamp) -> bool {
         let differs = self.next_action().is_some();
         self.is_serving() && differs && self.given_up.is_none() && now >= self.retry_at
     }
 
-    /// Whether the drain is over: nothing runs on the engine and nothing new was placed for the shortest drain.
+    /// Whether the drain is complete: the minimum drain time has passed, no call is pending, and nothing runs on the
+    /// engine.
     pub(super) fn is_drained(
         &self,
         activity: Option<&EngineActivity>,
@@ -31,16 +32,16 @@
         config: &RoleChangeConfig,
     ) -> bool {
         let Phase::Draining { since } = self.phase else { return false };
-        let quiet = since + config.drain_minimum;
-        now >= quiet && self.call.is_none() && activity.is_some_and(|activity| activity.idle_since(quiet))
+        let minimum_end = since + config.drain_minimum;
+        now >= minimum_end && self.call.is_none() && activity.is_some_and(|activity| activity.idle_since(minimum_end))
     }
 
-    pub(super) fn drains_too_long(&self, now: Timestamp, config: &RoleChangeConfig) -> bool {
+    pub(super) fn drain_timed_out(&self, now: Timestamp, config: &RoleChangeConfig) -> bool {
         matches!(self.phase, Phase::Draining { since } if now.since(since) > config.drain_limit)
     }
 
-    /// Whether the engine counts as changing for the bound on concurrent changes. A stuck one no longer does, lest it
-    /// stop all others; it still doesn't count as serving.
+    /// Whether the engine counts towards the limit on concurrent changes. A stuck engine does not, since it would block
+    /// all other changes; it still doesn't count as serving.
     pub(super) fn occupies_slot(&self, now: Timestamp, config: &RoleChangeConfig) -> bool {
         match self.phase {
             Phase::Steady => false,
@@ -49,8 +50,8 @@
         }
     }
 
-    /// For the dispatcher. An engine that is not fenced may still get an earlier holder's order, which would cut its
-    /// streams; `use_unfenced` tells that none can be on its way any more.
+    /// The engine's availability for the dispatcher. An unfenced engine may still receive an earlier holder's order,
+    /// which would cut its streams; `use_unfenced` states that no such order can be in transit.
     pub(super) fn availability(&self, use_unfenced: bool) -> EngineAvailability {
         let leaving = self.report.as_ref().is_some_and(|report| report.leaving);
         match self.phase {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Whether the engine loads weights, will do so next, or may be doing so.
+    /// Whether the engine loads weights, will load them next, or may be loading them.
     pub(super) fn is_loading(&self) -> bool {
         let loads = |action: &OrderAction| matches!(action, OrderAction::Load { .. });
         match &self.phase {
@@ -74,12 +75,12 @@
         }
     }
 
-    /// The engine's state as the operators see it.
+    /// The engine's state for operators.
     pub(super) fn state(&self, now: Timestamp, config: &RoleChangeConfig) -> EngineState {
         match self.phase {
             _ if self.is_stuck(now, config) => EngineState::Stuck,
             Phase::Draining { .. } => EngineState::Draining,
-            Phase::Ordered { .. } => EngineState::OrderInDoubt,
+            Phase::Ordered { .. } => EngineState::OrderUnresolved,
             Phase::Changing { .. } => EngineState::Changing,
             Phase::Steady if !self.fenced => EngineState::Unfenced,
             Phase::Steady if self.is_lost() => EngineState::Lost,
@@ -92,6 +93,6 @@
     }
 
     fn is_lost(&self) -> bool {
-        self.unanswered >= LOST_AFTER
+        self.unanswered_calls >= LOST_AFTER_UNANSWERED_CALLS
     }
 }
--- a/crates/core/src/authority/engine_state.rs
+++ b/crates/core/src/authority/engine_state.rs
@@ -1,4 +1,4 @@
-//! An engine as its holder sees it: its work, its state, and why a change was given up.
+//! The holder's view of an engine: its work, its state, and why a change was given up.
 
 use std::time::Duration;
 
@@ -8,62 +8,62 @@
 use crate::time::Timestamp;
 use crate::world::{EngineName, EngineRole};
 
-/// What is known about the work on an engine.
+/// The known work on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineActivity {
-    /// Requests that this node has placed on the engine and that have not ended.
+    /// Unfinished requests that this node has placed on the engine.
     pub in_flight: u32,
-    /// Requests that run or wait at the engine, as it last reported. Other nodes may have placed them.
+    /// Requests that run or wait at the engine according to its last report. Other nodes may have placed them.
     pub reported: u32,
-    /// When that report was true: its arrival less its age.
+    /// When that report was made: its arrival time minus its age.
     pub reported_at: Timestamp,
 }
 
 impl EngineActivity {
-    /// Whether nothing ran on the engine at some moment after `since`, when nothing new was placed any more.
+    /// Whether the engine was idle at some time after `since`, from when on nothing new was placed on it.
     pub(super) fn idle_since(&self, since: Timestamp) -> bool {
         self.in_flight == 0 && self.reported == 0 && self.reported_at >= since
     }
 }
 
-/// A change that an engine has completed and that was verified.
+/// A completed and verified change of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedChange {
     /// The engine.
     pub engine: EngineName,
-    /// What it was told to do.
+    /// The action that was ordered.
     pub action: OrderAction,
-    /// The role that it had before.
+    /// The engine's role before the change.
     pub role_before: EngineRole,
-    /// From the start of the drain to the verified end.
+    /// Time from the start of the drain to the verified end of the change.
     pub out_of_service: Duration,
 }
 
-/// Why a change of an engine was given up. The engine keeps what it has until its target changes.
+/// Why a change of an engine was given up. The engine keeps its role and weights until its target changes.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// the engine restarted each time that it was to change
+    /// the engine restarted at each attempt to change it
     Crashed,
-    /// the engine accepted the order but is not what the order asked for
+    /// the engine accepted the order but does not have the state that the order requested
     NotEffective,
     /// the engine refused the order
     Refused,
 }
 
-/// An engine of the pool as its holder sees it.
+/// The state of one of the pool's engines, as the holder sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
-    /// The fence is not raised: it gets no order and no work from the holder.
+    /// The fence is not raised: the holder sends the engine no order and no work.
     Unfenced,
-    /// It serves and is what it should be, or waits for its turn to change.
+    /// It serves, and matches its target or waits for its change to start.
     Serving,
-    /// It finishes its streams and gets no new ones.
+    /// It finishes its streams and receives no new ones.
     Draining,
     /// An order was sent and no reply has come yet.
-    OrderInDoubt,
+    OrderUnresolved,
     /// It is executing an order.
     Changing,
-    /// It has been executing an order, or leaving one unanswered, for longer than the limit.
+    /// It has been executing an order, or has not answered one, for longer than the limit.
     Stuck,
     /// It does not answer.
     Lost,
@@ -72,13 +72,13 @@
 }
 
 impl EngineState {
-    /// The stable code for bodies, logs and metrics.
+    /// The stable code for response bodies, logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             EngineState::Unfenced => "unfenced",
             EngineState::Serving => "serving",
             EngineState::Draining => "draining",
-            EngineState::OrderInDoubt => "order_in_doubt",
+            EngineState::OrderUnresolved => "order_in_doubt",
             EngineState::Changing => "changing",
             EngineState::Stuck => "stuck",
             EngineState::Lost => "lost",
--- a/crates/core/src/authority/message.rs
+++ b/crates/core/src/authority/message.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of the authority over a pool.
+//! Inputs, actions, events and messages of the authority over a pool.
 
 use speedy::{Readable, Writable};
 
@@ -12,26 +12,26 @@
 
 /// A message between two nodes about one pool; the sender wraps it with the pool's identity.
 ///
-/// Messages may be lost, doubled and reordered: each states facts that stay true.
+/// Messages may be lost, duplicated and reordered: each states facts that remain true.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum AuthorityMessage {
-    /// The holder tells a successor its term, ahead of time.
+    /// The holder announces a successor's term to it, in advance.
     Announce {
-        /// Who holds the authority.
+        /// The holder of the authority.
         holder: TermGrant,
-        /// The record in which the successor finds its term.
+        /// The record that contains the successor's term.
         stored: RecordAt,
     },
-    /// A successor knows its term; the holder need not tell it again.
+    /// A successor knows its term; the holder stops announcing it.
     Acknowledge {
         /// The successor's term.
         term: Term,
     },
-    /// The holder has given up its authority in favour of the receiver.
+    /// The holder has handed its authority over to the receiver.
     HandOver {
-        /// Who held the authority.
+        /// The previous holder of the authority.
         holder: TermGrant,
-        /// The record in which the receiver finds its term.
+        /// The record that contains the receiver's term.
         stored: RecordAt,
     },
     /// The receiver is no longer the holder: a higher term is in use.
@@ -41,12 +41,12 @@
     },
 }
 
-/// What the caller hands to [`super::PoolAuthority::step`].
+/// An input to [`super::PoolAuthority::step`].
 ///
-/// Each action that asks the store or an engine gets exactly one reply, `Unknown` when none came in time.
+/// Each call to the store or an engine gets exactly one reply, which is `Unknown` after a timeout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthorityInput {
-    /// The nodes that are alive and not leaving, best suited to own the pool first.
+    /// The nodes that are alive and not leaving, in order of preference as owner of the pool.
     OwnerRanking(Vec<Member>),
     /// The engines of the pool.
     Engines(Vec<EngineName>),
@@ -66,7 +66,7 @@
         /// Its reply.
         reply: OrderReply,
     },
-    /// What an engine said of itself on another occasion.
+    /// An engine's report that is no reply to a call of the authority.
     EngineReport {
         /// The engine.
         engine: EngineName,
@@ -82,10 +82,10 @@
     },
 }
 
-/// What the caller must do.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthorityAction {
-    /// Ask the store.
+    /// Send a request to the store.
     Store(StoreRequest),
     /// Raise an engine's fence.
     RaiseFence {
@@ -94,16 +94,17 @@
         /// The term.
         term: Term,
     },
-    /// Give an engine an order.
+    /// Send an order to an engine.
     SendOrder {
         /// The engine.
         engine: EngineName,
         /// The order.
         order: Order,
-        /// When the caller reads a later time right before sending, it must not send, and reply `Unknown`.
+        /// If the clock is past this time right before sending, the caller must not send the order, and must reply
+        /// `Unknown`.
         send_before: Timestamp,
     },
-    /// Ask an engine for its report.
+    /// Query an engine for its report.
     QueryEngine {
         /// The engine.
         engine: EngineName,
@@ -117,17 +118,17 @@
     },
 }
 
-/// What has happened to the authority, for those who act under it.
+/// A change of the authority, for the components that act under it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthorityEvent {
     /// The authority is gained; orders carry the term.
     Gained {
         /// The term.
         term: Term,
-        /// When the first order may go out.
+        /// When the first order may be sent.
         orders_from: Timestamp,
     },
-    /// The authority is lost, or in doubt after a pause.
+    /// The authority is lost, or has to be confirmed after a pause.
     Lost,
     /// An engine's fence is raised and this is its report.
     EngineFenced {
@@ -145,12 +146,12 @@
     },
 }
 
-/// The part that a node plays in the authority over a pool.
+/// A node's role in the authority over a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuthorityRole {
-    /// It does not seek the authority.
+    /// It does not try to acquire the authority.
     Follower,
-    /// It seeks the authority: it has asked for a term, or is raising fences.
+    /// It is acquiring the authority: it has requested a term, or is raising fences.
     Candidate,
     /// It holds the authority.
     Holder,
@@ -161,7 +162,7 @@
 pub struct FencedEngine {
     /// The engine.
     pub engine: EngineName,
-    /// The life of its process; a restarted engine has lost the fence.
+    /// The incarnation of its process; a restarted engine has lost the fence.
     pub incarnation: u64,
 }
 
@@ -170,22 +171,23 @@
 pub struct AuthorityStatus {
     /// The pool.
     pub pool: PoolId,
-    /// This node's part.
+    /// This node's role.
     pub role: AuthorityRole,
     /// The term under which this node acts or raises fences.
     pub term: Option<Term>,
     /// Engines at which the fence is raised.
     pub fenced: Vec<FencedEngine>,
-    /// Engines that could not be reached yet, or have restarted: they get no order, and are tried again.
+    /// Engines that could not be reached yet, or have restarted: they get no order, and fencing is attempted again.
     pub unfenced: Vec<EngineName>,
-    /// Whether orders may go out: this node is the holder, is ranked first, and most engines have confirmed its term.
+    /// Whether orders may be sent: this node is the holder, is ranked first, and most engines have confirmed its term.
     pub may_order: bool,
-    /// Whether the store shows this node as holder; false while the store is down.
+    /// Whether the last known stored record names this node as holder; false while it couldn't be written because the
+    /// store is down.
     pub stored: bool,
     /// Successors that know their terms.
     pub prepared_successors: Vec<Member>,
-    /// The highest term that is known to be in use by another process.
+    /// The highest term known to be in use by another process.
     pub highest_foreign_term: Term,
-    /// What was asked of the store.
+    /// Counters of the requests to the store.
     pub store: StoreCounters,
 }
--- a/crates/core/src/authority/mod.rs
+++ b/crates/core/src/authority/mod.rs
@@ -1,7 +1,7 @@
 //! Authority over the engines of a pool: terms, succession, fences, orders, and the changes made by orders.
 //!
-//! [`PoolControl`] is what a node runs for each pool. It joins [`PoolAuthority`], which acquires and keeps the authority,
-//! with [`RoleChanger`], which drains, orders and verifies under it. [`EngineArbiter`] is the engines' side.
+//! A node runs one [`PoolControl`] per pool. It combines [`PoolAuthority`], which acquires and keeps the authority,
+//! with [`RoleChanger`], which drains, orders and verifies under it. [`EngineArbiter`] implements the engines' side.
 
 mod arbiter;
 mod config;
--- a/crates/core/src/authority/order.rs
+++ b/crates/core/src/authority/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and the fence that makes an engine refuse those of a holder that has lost its authority.
+//! Orders to engines, and the fence that makes an engine refuse orders of a holder that has lost its authority.
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
@@ -7,25 +7,25 @@
 use super::target::EngineTarget;
 use crate::world::{AdapterName, EngineRole, ModelName, ModelVersion};
 
-/// Orders the holders of the authority over a pool. The store allocates each term to one process only.
+/// The ordinal of a holder of the authority over a pool. The store allocates each term to one process only.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Term(pub u64);
 
-/// Identifies an order at an engine: the term under which it was given and its place among that term's orders.
+/// Identifies an order at an engine by the term under which it was given and a sequence number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 pub struct OrderId {
     /// The term of the holder that gave the order.
     pub term: Term,
-    /// Counts the holder's orders to this engine, from 1.
+    /// The sequence number of the order, which rises over the holder's orders, from 1.
     pub sequence: u32,
 }
 
-/// What an engine is told to do.
+/// The action that an order requests from an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
@@ -47,40 +47,40 @@
 pub struct Order {
     /// The order's identity; its term must be no lower than the engine's fence.
     pub id: OrderId,
-    /// The life of the engine process that the order is meant for. A restarted engine has lost its fence, so only this
-    /// keeps a late order of an earlier holder from changing it.
+    /// The incarnation of the engine process that the order is for. A restarted engine has lost its fence, so only this
+    /// field prevents a late order of an earlier holder from changing it.
     pub engine_incarnation: u64,
-    /// The order that this one replaces, as the engine last reported it; none when the engine had none.
+    /// The order that this one replaces, as last reported by the engine; `None` when the engine held none.
     pub replaces: Option<OrderId>,
-    /// What to do.
+    /// The requested action.
     pub action: OrderAction,
 }
 
-/// What an engine says of itself; the answer to a fence, to an order and to a query.
+/// An engine's report of its state; the answer to a fence, an order or a query.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The highest term that the engine has seen: it refuses lower ones.
+    /// The highest term that the engine has accepted; it refuses lower ones.
     pub fence: Term,
-    /// The order that it holds, executed or being executed.
+    /// The order that the engine holds, executed or being executed.
     pub order: Option<OrderId>,
-    /// The role that it has, or had before the change that is going on.
+    /// The engine's role; during a change, the role before it.
     pub role: EngineRole,
-    /// The model that it serves.
+    /// The model that the engine serves.
     pub model: ModelName,
-    /// The version that it has loaded.
+    /// The model version that the engine has loaded.
     pub version: ModelVersion,
-    /// The adapter that it has loaded.
+    /// The adapter that the engine has loaded.
     pub adapter: Option<AdapterName>,
-    /// Whether an order is being executed; the engine serves nothing meanwhile.
+    /// Whether an order is being executed; meanwhile the engine serves no requests.
     pub changing: bool,
-    /// Whether the engine is about to stop and wants no new work.
+    /// Whether the engine is about to stop and accepts no new work.
     pub leaving: bool,
-    /// Distinguishes the engine process's lives: a restarted engine has lost its fence, order, cache and streams.
+    /// The incarnation of the engine process: a restarted engine has lost its fence, order, cache and streams.
     pub incarnation: u64,
 }
 
 impl EngineReport {
-    /// The report of an engine that has just started in the state `state` and has seen neither fence nor order.
+    /// The report of an engine that has just started in the state `state`, without fence or order.
     pub fn started(state: EngineTarget, incarnation: u64) -> Self {
         EngineReport {
             fence: Term::default(),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The next step from here to `target`; `None` when the engine is what it should be.
+    /// The next action towards `target`; `None` when the engine matches it.
     pub fn next_action(&self, target: &EngineTarget) -> Option<OrderAction> {
         let loaded = self.model == target.model && self.version == target.version && self.adapter == target.adapter;
         if !loaded {
@@ -106,33 +106,33 @@
     }
 }
 
-/// Why an engine refuses a fence or an order; nothing has changed at the engine.
+/// Why an engine refuses a fence or an order; the engine is unchanged.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderRefusal {
-    /// the order is meant for another life of the engine process
+    /// the order is for another incarnation of the engine process
     OtherIncarnation,
     /// the term is lower than the engine's fence
     StaleTerm,
-    /// the engine holds another order than the one to be replaced
+    /// the engine holds an order other than the one to be replaced
     ReplacesOther,
     /// the engine is still executing an order
     Busy,
 }
 
-/// What comes back from an engine.
+/// The outcome of a call to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub enum OrderReply {
     /// The fence is raised, or the order is accepted and being executed.
     Accepted(EngineReport),
-    /// The engine refused; the report tells what it holds.
+    /// The engine refused; the report contains its state.
     Refused(OrderRefusal, EngineReport),
     /// The engine can't be reached or did not answer in time: the order may have been accepted.
     Unknown,
 }
 
 impl OrderReply {
-    /// What the engine said of itself, if it said anything.
+    /// The engine's report, if it answered.
     pub fn report(&self) -> Option<&EngineReport> {
         match self {
             OrderReply::Accepted(report) | OrderReply::Refused(_, report) => Some(report),
--- a/crates/core/src/authority/pool_authority.rs
+++ b/crates/core/src/authority/pool_authority.rs
@@ -1,7 +1,7 @@
-//! Acquires, keeps and gives up the authority over one pool.
+//! Acquires, keeps and hands over the authority over one pool.
 
 use super::config::AuthorityConfig;
-use super::fences::{FenceAnswer, FenceSet};
+use super::fences::{FenceOutcome, FenceSet};
 use super::message::{
     AuthorityAction, AuthorityEvent, AuthorityInput, AuthorityMessage, AuthorityStatus, FencedEngine,
 };
@@ -15,12 +15,12 @@
 use crate::time::Timestamp;
 use crate::world::{EngineName, PoolId};
 
-/// The authority over one pool, as one node sees it.
+/// One node's state machine for the authority over one pool.
 ///
-/// A node that is ranked first takes the authority: it uses a term that was allocated to it ahead of time, or has the
-/// store allocate one, raises the fence at every engine, and only then calls itself holder. It steps down as soon as it
-/// learns of a higher term in use. Two nodes may both believe that they hold the authority for a while; the engines'
-/// fences decide whose orders count.
+/// A node that is ranked first acquires the authority: it uses a term that was allocated to it in advance, or has the
+/// store allocate one, raises the fence at every engine, and only then becomes the holder. It steps down as soon as it
+/// learns of a higher term in use. Two nodes may both be in the state of holder for a while; the engines' fences decide
+/// whose orders are executed.
 pub struct PoolAuthority {
     config: AuthorityConfig,
     pool: PoolId,
@@ -33,9 +33,9 @@
     grant: Option<Term>,
     highest_foreign: Term,
     reacquire_at: Timestamp,
-    /// Since when this node has been ranked first and has known of no other holder.
-    first_since: Timestamp,
-    invited_until: Timestamp,
+    /// Since when this node has been ranked first without knowing of another holder.
+    ranked_first_since: Timestamp,
+    invitation_ends: Timestamp,
     succession: Succession,
     last_step: Timestamp,
     actions: Vec<AuthorityAction>,
@@ -43,7 +43,7 @@
 }
 
 impl PoolAuthority {
-    /// A follower that knows neither members nor engines yet.
+    /// Creates a follower that knows neither members nor engines.
     pub fn new(config: AuthorityConfig, pool: PoolId, me: Member, now: Timestamp) -> Self {
         PoolAuthority {
             store: RecordStore::new(&pool, me, &config),
@@ -57,29 +57,30 @@
             grant: None,
             highest_foreign: Term::default(),
             reacquire_at: now,
-            first_since: now,
-            invited_until: now,
+            ranked_first_since: now,
+            invitation_ends: now,
             last_step: now,
             actions: Vec::new(),
             events: Vec::new(),
         }
     }
 
-    /// This process begins a new life as `me`, which owns no term yet. Replies to calls of the former life may follow.
+    /// Starts a new incarnation of this process as `me`, which owns no term yet. Replies to calls of the previous
+    /// incarnation may still arrive.
     pub fn rejoin(&mut self, me: Member, now: Timestamp) {
         self.step_down();
         let own = self.grant.take().unwrap_or_default();
         self.highest_foreign = self.highest_foreign.max(own);
         self.me = me;
         self.ranking.clear();
-        self.invited_until = now;
+        self.invitation_ends = now;
         self.store.rejoin(me);
-        self.use_record(now);
+        self.apply_record(now);
     }
 
-    /// Takes in what has happened.
+    /// Applies an input.
     pub fn step(&mut self, input: AuthorityInput, now: Timestamp) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match input {
             AuthorityInput::OwnerRanking(ranking) => self.on_ranking(ranking, now),
             AuthorityInput::Engines(engines) => self.fences.set_engines(&engines),
@@ -92,18 +93,18 @@
         self.advance(now);
     }
 
-    /// Lets time pass; to be called several times within the pause limit.
+    /// Advances the clock to `now`. Must be called several times within the pause limit.
     pub fn tick(&mut self, now: Timestamp) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.advance(now);
     }
 
-    /// What to do now, in order.
+    /// Takes the pending actions, in order.
     pub fn take_ready(&mut self) -> Vec<AuthorityAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// What has happened to the authority since the last call, in order.
+    /// Takes the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<AuthorityEvent> {
         std::mem::take(&mut self.events)
     }
@@ -135,11 +136,12 @@
         }
     }
 
-    /// Whether this node, ranked first but unable to get the authority, may use engines whose fence it has not raised.
+    /// Whether this node, ranked first but unable to acquire the authority, may use engines whose fence it has not
+    /// raised.
     ///
-    /// By then the last orders of an earlier holder have arrived or were dropped unsent.
+    /// By then the last orders of an earlier holder have arrived or have been dropped unsent.
     pub fn may_use_unfenced(&self, now: Timestamp) -> bool {
-        self.term().is_none() && self.is_first() && now >= self.first_since + self.config.settle
+        self.term().is_none() && self.is_first() && now >= self.ranked_first_since + self.config.settle
     }
 
     fn on_ranking(&mut self, ranking: Vec<Member>, now: Timestamp) {
@@ -148,23 +150,23 @@
         if was_first || !self.is_first() {
             return;
         }
-        self.first_since = now;
-        // Another node may have dispatched meanwhile, with or without authority: start as after a takeover.
-        self.raise_fences_anew(now);
+        self.ranked_first_since = now;
+        // Another node may have dispatched in the meantime, with or without authority: start as after a takeover.
+        self.restart_fencing(now);
     }
 
     fn on_store_reply(&mut self, reply: StoreReply, now: Timestamp) {
         self.store.reply(reply, now);
-        self.use_record(now);
+        self.apply_record(now);
     }
 
     fn on_fence_reply(&mut self, engine: EngineName, reply: OrderReply, now: Timestamp) {
-        let answer = self.fences.answered(&engine, reply.report(), now);
+        let outcome = self.fences.finish_call(&engine, reply.report(), now);
         let Some(report) = reply.report().cloned() else { return };
-        self.notice_term(report.fence, now);
-        let Some(term) = self.term().filter(|_| answer != FenceAnswer::NotRaised) else { return };
-        if answer == FenceAnswer::Raised && matches!(self.state, State::Holder { .. }) {
-            self.fences.doubt_others(&engine, now);
+        self.observe_term(report.fence, now);
+        let Some(term) = self.term().filter(|_| outcome != FenceOutcome::NotRaised) else { return };
+        if outcome == FenceOutcome::Raised && matches!(self.state, State::Holder { .. }) {
+            self.fences.revalidate_others(&engine, now);
         }
         self.events.push(AuthorityEvent::EngineFenced { engine, term, report });
     }
@@ -176,11 +178,11 @@
     }
 
     fn on_report(&mut self, engine: EngineName, report: &EngineReport, now: Timestamp) {
-        self.notice_term(report.fence, now);
+        self.observe_term(report.fence, now);
         if self.term().is_none() || !self.fences.observe(&engine, report, now) {
             return;
         }
-        self.fences.doubt_others(&engine, now);
+        self.fences.revalidate_others(&engine, now);
         self.events.push(AuthorityEvent::EngineUnfenced { engine });
     }
 
@@ -191,22 +193,22 @@
                 self.answer_announcement(from, holder);
             }
             AuthorityMessage::HandOver { holder, stored } => {
-                self.invited_until = now + self.config.invitation;
+                self.invitation_ends = now + self.config.invitation;
                 self.on_holder(holder, stored, now);
             }
             AuthorityMessage::Acknowledge { term } => {
                 self.succession.acknowledge(from, term);
             }
-            AuthorityMessage::Superseded { term } => self.notice_term(term, now),
+            AuthorityMessage::Superseded { term } => self.observe_term(term, now),
         }
     }
 
     fn on_holder(&mut self, holder: TermGrant, stored: RecordAt, now: Timestamp) {
         if holder.member != self.me {
-            self.notice_term(holder.term, now);
+            self.observe_term(holder.term, now);
         }
         self.store.learn(stored);
-        self.use_record(now);
+        self.apply_record(now);
     }
 
     fn answer_announcement(&mut self, from: Member, holder: TermGrant) {
@@ -219,26 +221,26 @@
         self.actions.push(AuthorityAction::SendPeer { to: from, message });
     }
 
-    /// Draws conclusions from the newest record: a term for this process, a term in use by another one.
-    fn use_record(&mut self, now: Timestamp) {
+    /// Applies the newest record, which may contain a term for this process or a term in use by another process.
+    fn apply_record(&mut self, now: Timestamp) {
         let Some(known) = self.store.known() else { return };
         let granted = known.record.grant_of(self.me);
         let holder = known.record.holder;
         self.grant = self.grant.max(granted);
         if let Some(holder) = holder.filter(|holder| holder.member != self.me) {
-            self.notice_term(holder.term, now);
+            self.observe_term(holder.term, now);
         }
     }
 
-    /// Steps down when `term` is higher than the own one. Terms are unique, so an equal one is the own.
-    fn notice_term(&mut self, term: Term, now: Timestamp) {
+    /// Steps down when `term` is higher than this node's term. Terms are unique, so an equal term is this node's.
+    fn observe_term(&mut self, term: Term, now: Timestamp) {
         if Some(term) == self.term() || Some(term) == self.grant {
             return;
         }
         self.highest_foreign = self.highest_foreign.max(term);
         if self.term().is_some_and(|own| own < term) {
             self.step_down();
-            self.first_since = now;
+            self.ranked_first_since = now;
             self.reacquire_at = now + self.config.reacquire_delay;
         }
     }
@@ -251,18 +253,19 @@
         self.succession.clear();
     }
 
-    /// After a pause another node may have taken over: the authority is in doubt until the fences are raised anew.
-    fn notice_pause(&mut self, now: Timestamp) {
+    /// Detects a pause of the process. Another node may have taken over meanwhile, so the fences are raised again
+    /// before this node acts.
+    fn detect_pause(&mut self, now: Timestamp) {
         let paused = now.since(self.last_step) > self.config.pause_limit;
         self.last_step = now;
         if !paused {
             return;
         }
-        self.first_since = now;
-        self.raise_fences_anew(now);
+        self.ranked_first_since = now;
+        self.restart_fencing(now);
     }
 
-    fn raise_fences_anew(&mut self, now: Timestamp) {
+    fn restart_fencing(&mut self, now: Timestamp) {
         if let Some(term) = self.term() {
             self.step_down();
             self.raise_fences(term, now);
@@ -271,15 +274,15 @@
 
     fn advance(&mut self, now: Timestamp) {
         match self.state {
-            State::Follower => self.seek(now),
+            State::Follower => self.start_acquiring(now),
             State::Acquiring => self.acquire(now),
             State::Fencing { term, deadline } => self.fence(term, deadline, now),
             State::Holder { term } => self.hold(term, now),
         }
     }
 
-    fn seek(&mut self, now: Timestamp) {
-        if !self.wants(now) || now < self.reacquire_at {
+    fn start_acquiring(&mut self, now: Timestamp) {
+        if !self.is_eligible(now) || now < self.reacquire_at {
             return;
         }
         self.state = State::Acquiring;
@@ -287,7 +290,7 @@
     }
 
     fn acquire(&mut self, now: Timestamp) {
-        if !self.wants(now) {
+        if !self.is_eligible(now) {
             return self.step_down();
         }
         if let Some(term) = self.grant.filter(|term| *term > self.highest_foreign) {
@@ -306,11 +309,11 @@
     }
 
     fn fence(&mut self, term: Term, deadline: Timestamp, now: Timestamp) {
-        if !self.wants(now) {
+        if !self.is_eligible(now) {
             return self.step_down();
         }
         self.call_fences(term, now);
-        if self.fences.all_tried() || now >= deadline {
+        if self.fences.all_attempted() || now >= deadline {
             self.state = State::Holder { term };
             let orders_from = now + self.config.settle;
             self.events.push(AuthorityEvent::Gained { term, orders_from });
@@ -322,7 +325,7 @@
         self.call_fences(term, now);
         self.publish(term, now);
         self.announce(term, now);
-        if !self.wants(now) {
+        if !self.is_eligible(now) {
             self.hand_over(term);
         }
     }
@@ -332,19 +335,19 @@
         self.actions.extend(due.into_iter().map(|engine| AuthorityAction::RaiseFence { engine, term }));
     }
 
-    /// Writes the record only when it differs from what it should be: nothing is written while nothing changes.
+    /// Writes the record only when it differs from the desired one: nothing is written while nothing changes.
     fn publish(&mut self, term: Term, now: Timestamp) {
         let holder = TermGrant { member: self.me, term };
-        let heirs = self.heirs();
-        let settled = |record: &super::AuthorityRecord| record.held_by(holder, &heirs) == *record;
-        if self.store.known().is_some_and(|known| settled(&known.record)) {
+        let successors = self.successors();
+        let up_to_date = |record: &super::AuthorityRecord| record.held_by(holder, &successors) == *record;
+        if self.store.known().is_some_and(|known| up_to_date(&known.record)) {
             return;
         }
-        let request = self.store.request(now, |record| record.held_by(holder, &heirs));
+        let request = self.store.request(now, |record| record.held_by(holder, &successors));
         self.actions.extend(request.map(AuthorityAction::Store));
     }
 
-    /// Tells successors their terms until each has acknowledged.
+    /// Announces terms to the successors until each has acknowledged its term.
     fn announce(&mut self, term: Term, now: Timestamp) {
         let Some(known) = self.store.known().filter(|_| self.is_stored()) else { return };
         let holder = TermGrant { member: self.me, term };
@@ -354,7 +357,7 @@
         }
     }
 
-    /// Gives up the authority to the node that is ranked first, once that has a term to follow with.
+    /// Hands the authority over to the node that is ranked first, once that node has been allocated a higher term.
     fn hand_over(&mut self, term: Term) {
         let (Some(next), Some(known)) = (self.ranking.first().copied(), self.store.known()) else { return };
         if known.record.grant_of(next).is_none_or(|granted| granted <= term) {
@@ -366,7 +369,7 @@
         self.step_down();
     }
 
-    fn heirs(&self) -> Vec<Member> {
+    fn successors(&self) -> Vec<Member> {
         self.ranking.iter().copied().filter(|member| *member != self.me).take(SUCCESSORS).collect()
     }
 
@@ -379,8 +382,8 @@
         self.ranking.first() == Some(&self.me)
     }
 
-    fn wants(&self, now: Timestamp) -> bool {
-        self.is_first() || now < self.invited_until
+    fn is_eligible(&self, now: Timestamp) -> bool {
+        self.is_first() || now < self.invitation_ends
     }
 
     fn term(&self) -> Option<Term> {
--- a/crates/core/src/authority/record.rs
+++ b/crates/core/src/authority/record.rs
@@ -1,4 +1,4 @@
-//! What the store keeps for a pool: which terms are allocated, to whom, and who holds the authority.
+//! The store's record for a pool: the allocated terms with their owners, and the holder of the authority.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
@@ -8,13 +8,13 @@
 use crate::store::{ObjectKey, Revision};
 use crate::world::PoolId;
 
-/// The successors that have a term allocated ahead of time, so that two deaths in a row in a store outage are covered.
+/// Number of successors with a term allocated in advance: enough for two consecutive node deaths in a store outage.
 pub const SUCCESSORS: usize = 2;
 
-/// A term and the one process life that may use it.
+/// A term and the one process incarnation that may use it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable, Serialize, Deserialize)]
 pub struct TermGrant {
-    /// Who may use the term.
+    /// The member that may use the term.
     pub member: Member,
     /// The term.
     pub term: Term,
@@ -22,34 +22,34 @@
 
 /// The object `authority/<pool>`.
 ///
-/// Every term up to `allocated` belongs for ever to the member that it was allocated to, whatever later revisions say.
-/// So an old copy of the record can't make two processes use one term.
+/// Every term up to `allocated` belongs permanently to the member that it was allocated to, regardless of later
+/// revisions. So an outdated read of the record can't make two processes use one term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct AuthorityRecord {
-    /// The highest term that was ever allocated; it never goes down.
+    /// The highest allocated term; it never decreases.
     pub allocated: Term,
-    /// The last holder that has published itself here.
+    /// The last holder that has written itself to the record.
     pub holder: Option<TermGrant>,
-    /// Terms allocated ahead, in the order of succession, and those of candidates.
+    /// Terms allocated in advance, in the order of succession, and the terms of candidates.
     pub successors: Vec<TermGrant>,
 }
 
-/// A record that was seen in the store.
+/// A record as read from or written to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct RecordAt {
-    /// The revision that it had.
+    /// The revision of the record.
     pub revision: Revision,
     /// The record.
     pub record: AuthorityRecord,
 }
 
 impl AuthorityRecord {
-    /// Where the record of `pool` is kept.
+    /// The store key of the record of `pool`.
     pub fn key(pool: &PoolId) -> ObjectKey {
         ObjectKey(format!("authority/{pool}"))
     }
 
-    /// The highest term that the record gives to `member` and that `member` has not published itself with.
+    /// The highest term that the record allocates to `member` and under which `member` is not recorded as holder.
     pub fn grant_of(&self, member: Member) -> Option<Term> {
         self.successors.iter().filter(|grant| grant.member == member).map(|grant| grant.term).max()
     }
@@ -63,20 +63,20 @@
         record
     }
 
-    /// The record with `holder` as holder and a term for each of `heirs`.
+    /// The record with `holder` as holder and a term for each of `successors`.
     ///
-    /// The heirs' terms rise in their order and lie above the holder's, so that each can succeed all before it. A grant
-    /// that already fits is kept: the heir knows it, and the record need not be written again.
-    pub fn held_by(&self, holder: TermGrant, heirs: &[Member]) -> AuthorityRecord {
+    /// The successors' terms rise in their order and are above the holder's, so that each can succeed all before it. A
+    /// grant that already fits is kept: the successor knows it, and the record need not be written again.
+    pub fn held_by(&self, holder: TermGrant, successors: &[Member]) -> AuthorityRecord {
         let mut record = self.clone();
         record.holder = Some(holder);
         record.successors = Vec::new();
         let mut last = holder.term;
-        for heir in heirs.iter().take(SUCCESSORS) {
-            let kept = self.grant_of(*heir).filter(|term| *term > last);
+        for successor in successors.iter().take(SUCCESSORS) {
+            let kept = self.grant_of(*successor).filter(|term| *term > last);
             let grant = match kept {
-                Some(term) => TermGrant { member: *heir, term },
-                None => record.allocate(*heir),
+                Some(term) => TermGrant { member: *successor, term },
+                None => record.allocate(*successor),
             };
             last = grant.term;
             record.successors.push(grant);
--- a/crates/core/src/authority/record_store.rs
+++ b/crates/core/src/authority/record_store.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the record of a pool: one request at a time, seldom, and settled when a reply is lost.
+//! Reads and writes the record of a pool: one request at a time, with backoff, resolving writes whose reply was lost.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use crate::time::Timestamp;
 use crate::world::PoolId;
 
-/// What one authority has asked of the store since it was created.
+/// Counters of one authority's store requests since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreCounters {
     /// Reads.
     pub reads: u64,
-    /// Writes by compare-and-set, refused ones included.
+    /// Writes by compare-and-set, including refused ones.
     pub writes: u64,
-    /// Writes whose reply was lost and whose operation id was then read back: they had taken effect.
-    pub settled: u64,
-    /// Answers older than what was known already; they were not used.
+    /// Writes whose reply was lost and whose operation id was then read back, so that they had taken effect.
+    pub resolved: u64,
+    /// Ignored answers that were older than the known record.
     pub stale: u64,
 }
 
@@ -29,10 +29,10 @@
     Write { operation: OperationId, record: AuthorityRecord },
 }
 
-/// The access to one record.
+/// Access to one record.
 ///
-/// Invariant: a write expects the revision that its content was made from, so of two writes made from one revision only
-/// one takes effect, however late they arrive and however old the answers are that were read in between.
+/// Invariant: a write expects the revision that its content was derived from, so of two writes derived from one
+/// revision only one takes effect, however late they arrive and however stale the reads in between are.
 pub(super) struct RecordStore {
     key: ObjectKey,
     me: Member,
@@ -40,7 +40,7 @@
     retry_maximum: Duration,
     known: Option<RecordAt>,
     pending: Option<Pending>,
-    in_doubt: Option<OperationId>,
+    unresolved: Option<OperationId>,
     failures: u32,
     next_request: Timestamp,
     operations: u64,
@@ -56,7 +56,7 @@
             retry_maximum: config.store_retry_maximum,
             known: None,
             pending: None,
-            in_doubt: None,
+            unresolved: None,
             failures: 0,
             next_request: Timestamp::ZERO,
             operations: 0,
@@ -64,13 +64,13 @@
         }
     }
 
-    /// This process begins a new life as `me`. The reply to a request that is under way is still to come, and must not
-    /// be mistaken for that to a later one; what was seen in the store stays true.
+    /// Starts a new incarnation of this process as `me`. The pending request is kept, since its reply is still to
+    /// arrive and must not be taken for the reply to a later request. The known record remains valid.
     pub(super) fn rejoin(&mut self, me: Member) {
         self.me = me;
     }
 
-    /// The newest record that is known to have been in the store.
+    /// The newest record known to have been in the store.
     pub(super) fn known(&self) -> Option<&RecordAt> {
         self.known.as_ref()
     }
@@ -79,9 +79,10 @@
         self.counters
     }
 
-    /// Writes what `change` makes of the newest record. Reads first when no record is known or a write is in doubt.
+    /// Creates a request that writes the newest record as modified by `change`, or a read when no record is known or
+    /// the outcome of a write is unknown.
     ///
-    /// Makes no request while one is under way or the last one has failed a short while ago.
+    /// Returns `None` while a request is pending or during the backoff after a failure.
     pub(super) fn request(
         &mut self,
         now: Timestamp,
@@ -91,7 +92,7 @@
             return None;
         }
         match &self.known {
-            Some(known) if self.in_doubt.is_none() => {
+            Some(known) if self.unresolved.is_none() => {
                 let (expected, record) = (known.revision, change(&known.record));
                 Some(self.write(expected, record))
             }
@@ -99,14 +100,14 @@
         }
     }
 
-    /// Takes in a record that was seen in the store, by this node or by a peer. An older one than known is of no use.
+    /// Applies a record that this node or a peer has seen in the store. A record older than the known one is ignored.
     pub(super) fn learn(&mut self, stored: RecordAt) {
         if self.known.as_ref().is_none_or(|known| known.revision <= stored.revision) {
             self.known = Some(stored);
         }
     }
 
-    /// Takes in the reply to the request that is under way.
+    /// Applies the reply to the pending request.
     pub(super) fn reply(&mut self, reply: StoreReply, now: Timestamp) {
         let Some(pending) = self.pending.take() else { return };
         match (reply, pending) {
@@ -116,23 +117,23 @@
             }
             (StoreReply::Object(object) | StoreReply::Conflict(object), _) => self.observe(object, now),
             (_, Pending::Write { operation, .. }) => {
-                self.in_doubt = Some(operation);
+                self.unresolved = Some(operation);
                 self.back_off(now);
             }
             (_, Pending::Read) => self.back_off(now),
         }
     }
 
-    /// A read or a conflict tells what the store holds, or held a while ago.
+    /// Applies the object returned by a read or a conflict, which may be stale.
     fn observe(&mut self, object: Option<StoredObject>, now: Timestamp) {
         let (revision, operation, record) = match object {
             None => (Revision(0), None, Some(AuthorityRecord::default())),
             Some(object) => (object.revision, Some(object.operation), serde_json::from_str(&object.value).ok()),
         };
         let Some(record) = record else { return self.back_off(now) };
-        let took_effect = operation.is_some() && operation == self.in_doubt;
-        self.counters.settled += u64::from(took_effect);
-        self.in_doubt = None;
+        let took_effect = operation.is_some() && operation == self.unresolved;
+        self.counters.resolved += u64::from(took_effect);
+        self.unresolved = None;
         if self.known.as_ref().is_some_and(|known| known.revision > revision) {
             self.counters.stale += 1;
             return self.back_off(now);
@@ -155,7 +156,7 @@
         StoreRequest::CompareAndSet { key: self.key.clone(), expected, operation, value }
     }
 
-    /// Unique over all processes: it hashes the process's life, the object and a counter.
+    /// Returns an id that is unique over all processes: a hash of the process's incarnation, the object and a counter.
     fn next_operation(&mut self) -> OperationId {
         self.operations += 1;
         OperationId(xxh3_64(format!("{} {} {}", self.me, self.key.0, self.operations).as_bytes()))
--- a/crates/core/src/authority/role_changer.rs
+++ b/crates/core/src/authority/role_changer.rs
@@ -1,4 +1,4 @@
-//! Changes the roles and weights of a pool's engines: drain, order, verify, a bounded number at once.
+//! Changes the roles and weights of a pool's engines: drain, order and verify, with a limit on concurrent changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use crate::time::Timestamp;
 use crate::world::{EngineName, EngineRole};
 
-/// The fewest engines that must keep serving while others change.
+/// Minimum number of engines that must keep serving while others change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoleFloors {
-    /// Engines that take prompt work.
+    /// Engines that serve prefill.
     pub prefill: u16,
-    /// Engines that generate tokens.
+    /// Engines that serve decode.
     pub decode: u16,
 }
 
-/// What an engine should be.
+/// The desired state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineSpecification {
     /// The engine.
@@ -32,37 +32,37 @@
     pub target: EngineTarget,
 }
 
-/// How long orders are on their way.
+/// Bounds on the time in which orders are sent and arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderTiming {
     /// An order that is not sent within this time is not sent at all.
     pub send_within: Duration,
-    /// An order that has not arrived within this time, counted from the last moment at which it may have been sent,
-    /// does not arrive any more.
+    /// An order that has not arrived within this time, counted from the latest time at which it may have been sent,
+    /// does not arrive at all.
     pub settle: Duration,
 }
 
-/// The work on the pool's engines. An engine that is missing is taken for busy.
+/// The work on the pool's engines. A missing engine is assumed to be busy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolActivity {
     /// The work on each engine.
     pub engines: BTreeMap<EngineName, EngineActivity>,
 }
 
-/// What the changes have cost since the changer was created.
+/// Counters of the changes and their cost since the changer was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChangeCounters {
     /// Roles changed.
     pub role_changes: u64,
     /// Weights or adapters loaded.
     pub loads: u64,
-    /// Drains that were called off; the engine never went out of service.
-    pub called_off: u64,
-    /// Attempts that failed, those that led to giving up included.
+    /// Drains that were cancelled; the engine never went out of service.
+    pub cancelled_drains: u64,
+    /// Failed attempts, including those after which the change was given up.
     pub failed: u64,
     /// Changes given up.
     pub given_up: u64,
-    /// Time from the start of the drain to the verified end, summed over the completed changes.
+    /// Total time of the completed changes, each from the start of its drain to its verified end.
     pub out_of_service: Duration,
 }
 
@@ -71,25 +71,25 @@
 pub struct EngineStatus {
     /// The engine.
     pub engine: EngineName,
-    /// Where it stands.
+    /// Its state.
     pub state: EngineState,
-    /// The role that it reported last.
+    /// The last reported role.
     pub role: Option<EngineRole>,
-    /// The order that it reported last.
+    /// The last reported order.
     pub order: Option<OrderId>,
 }
 
-/// Brings the engines of one pool to their targets, while this node holds the authority over it.
+/// Brings the engines of one pool to their targets while this node holds the authority over it.
 ///
-/// Invariants: an order goes to a fenced engine that nothing ran on after its drain began; an engine that is executing
-/// an order gets no other; engines that drain, change, or can't be reached don't count for the floors.
+/// Invariants: an order is sent only to a fenced engine that was idle after its drain began; an engine that is
+/// executing an order gets no other; engines that drain, change, or can't be reached don't count for the floors.
 pub struct RoleChanger {
     config: RoleChangeConfig,
     floors: RoleFloors,
     engines: BTreeMap<EngineName, EngineChange>,
     orders_from: Timestamp,
     timing: OrderTiming,
-    /// Goes on through all terms of this process, so that no order id is used twice.
+    /// Continues through all terms of this process, so that no order id is used twice.
     last_sequence: u32,
     counters: ChangeCounters,
     completed: Vec<CompletedChange>,
@@ -97,7 +97,7 @@
 }
 
 impl RoleChanger {
-    /// A changer without engines or authority.
+    /// Creates a changer without engines or authority.
     pub fn new(config: RoleChangeConfig, timing: OrderTiming) -> Self {
         RoleChanger {
             config,
@@ -112,12 +112,12 @@
         }
     }
 
-    /// Sets the floors that every change from now on keeps.
+    /// Sets the floors for all changes from now on.
     pub fn set_floors(&mut self, floors: RoleFloors) {
         self.floors = floors;
     }
 
-    /// Replaces the engines and what they should be.
+    /// Replaces the engines and their targets.
     pub fn set_targets(&mut self, specifications: &[EngineSpecification]) {
         self.engines.retain(|engine, _| specifications.iter().any(|wanted| wanted.engine == *engine));
         for wanted in specifications {
@@ -126,18 +126,18 @@
         }
     }
 
-    /// Takes in what has happened to the authority.
+    /// Applies a change of the authority.
     pub fn authority_event(&mut self, event: AuthorityEvent, now: Timestamp) {
         match event {
             AuthorityEvent::Gained { orders_from, .. } => self.orders_from = orders_from,
             AuthorityEvent::Lost => {
-                let doubt_ends = now + self.timing.settle;
-                self.engines.values_mut().for_each(|change| change.suspend(doubt_ends));
+                let unresolved_until = now + self.timing.settle;
+                self.engines.values_mut().for_each(|change| change.suspend(unresolved_until));
             }
             AuthorityEvent::EngineFenced { engine, term, report } => {
                 let Some(change) = self.engines.get_mut(&engine) else { return };
-                let outcome = change.fence(term, report, now, &self.config);
-                self.count(&engine, outcome);
+                let outcome = change.apply_fence(term, report, now, &self.config);
+                self.count_outcome(&engine, outcome);
             }
             AuthorityEvent::EngineUnfenced { engine } => {
                 if let Some(change) = self.engines.get_mut(&engine) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// This process begins a new life: orders that were not sent are dropped.
+    /// Starts a new incarnation of this process: unsent orders are dropped.
     pub fn rejoin(&mut self, now: Timestamp) {
         self.authority_event(AuthorityEvent::Lost, now);
         for action in std::mem::take(&mut self.actions) {
@@ -158,26 +158,26 @@
         }
     }
 
-    /// Takes in the reply to an order or a query.
+    /// Applies the reply to an order or a query.
     pub fn engine_reply(&mut self, engine: &EngineName, reply: OrderReply, now: Timestamp) {
         let Some(change) = self.engines.get_mut(engine) else { return };
-        let outcome = change.answer(reply, now, &self.config);
-        self.count(engine, outcome);
+        let outcome = change.apply_reply(reply, now, &self.config);
+        self.count_outcome(engine, outcome);
     }
 
-    /// Takes in a report that answers no call of this changer.
+    /// Applies a report that answers no call of this changer.
     pub fn engine_report(&mut self, engine: &EngineName, report: EngineReport, now: Timestamp) {
         if let Some(change) = self.engines.get_mut(engine) {
             change.observe(report, now, &self.config);
         }
     }
 
-    /// Lets time pass. `term` is the term under which orders may be given now, if they may be; `activity` is what runs
-    /// on the engines now.
+    /// Advances the clock to `now`. `term` is the term under which orders may be sent now, if any; `activity` is the
+    /// current work on the engines.
     pub fn tick(&mut self, term: Option<Term>, activity: &PoolActivity, now: Timestamp) {
-        self.call_off_drains(term, now);
+        self.cancel_drains(term, now);
         if let Some(term) = term.filter(|_| now >= self.orders_from) {
-            self.give_orders(term, activity, now);
+            self.send_orders(term, activity, now);
             self.start_drains(activity, now);
         }
         if let Some(term) = term {
@@ -185,12 +185,12 @@
         }
     }
 
-    /// What to do now, in order.
+    /// Takes the pending actions, in order.
     pub fn take_ready(&mut self) -> Vec<AuthorityAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The changes completed since the last call.
+    /// Takes the changes completed since the last call.
     pub fn take_completed(&mut self) -> Vec<CompletedChange> {
         std::mem::take(&mut self.completed)
     }
@@ -201,7 +201,7 @@
         self.engines.get(engine).map_or(unknown, |change| change.availability(use_unfenced))
     }
 
-    /// What the changes have cost.
+    /// Counters of the changes and their cost.
     pub fn counters(&self) -> ChangeCounters {
         self.counters
     }
@@ -217,7 +217,7 @@
         self.engines.iter().map(status).collect()
     }
 
-    /// The engines as candidates for other roles; one that is changing counts under its new role.
+    /// The engines as candidates for other roles; a changing engine is listed with its new role.
     pub fn role_candidates(&self, activity: &PoolActivity) -> Vec<RoleCandidate> {
         let candidate = |(engine, change): (&EngineName, &EngineChange)| {
             let changing_to =
@@ -229,7 +229,7 @@
         self.engines.iter().filter_map(candidate).collect()
     }
 
-    /// Engines by role; one that is changing counts under its new role.
+    /// Number of engines by role; a changing engine counts under its new role.
     pub fn role_counts(&self) -> RoleCounts {
         let mut counts = RoleCounts::default();
         for candidate in self.role_candidates(&PoolActivity::default()) {
@@ -242,40 +242,41 @@
         counts
     }
 
-    /// The role that the engine has reported last.
+    /// The engine's last reported role.
     pub(super) fn reported_role(&self, engine: &EngineName) -> Option<EngineRole> {
         self.engines.get(engine)?.report().map(|report| report.role)
     }
 
-    /// Ends drains that last too long, that nobody wants any more, or that this holder may not end with an order.
-    fn call_off_drains(&mut self, term: Option<Term>, now: Timestamp) {
+    /// Cancels drains that exceed the limit, whose change is no longer needed, or that this node can't complete because
+    /// it may not send orders.
+    fn cancel_drains(&mut self, term: Option<Term>, now: Timestamp) {
         let mut outcomes = Vec::new();
         let draining = |change: &EngineChange| matches!(change.phase, Phase::Draining { .. });
         for (engine, change) in self.engines.iter_mut().filter(|(_, change)| draining(change)) {
-            if change.drains_too_long(now, &self.config) {
-                outcomes.push((engine.clone(), change.call_off(now, self.config.drain_retry)));
+            if change.drain_timed_out(now, &self.config) {
+                outcomes.push((engine.clone(), change.cancel_drain(now, self.config.drain_retry)));
             } else if term.is_none() || change.next_action().is_none() {
-                outcomes.push((engine.clone(), change.call_off(now, Duration::ZERO)));
+                outcomes.push((engine.clone(), change.cancel_drain(now, Duration::ZERO)));
             }
         }
-        outcomes.into_iter().for_each(|(engine, outcome)| self.count(&engine, outcome));
+        outcomes.into_iter().for_each(|(engine, outcome)| self.count_outcome(&engine, outcome));
     }
 
-    fn give_orders(&mut self, term: Term, activity: &PoolActivity, now: Timestamp) {
+    fn send_orders(&mut self, term: Term, activity: &PoolActivity, now: Timestamp) {
         let drained = |(engine, change): (&EngineName, &EngineChange)| {
             change.is_drained(activity.engines.get(engine), now, &self.config).then(|| engine.clone())
         };
         let drained: Vec<EngineName> = self.engines.iter().filter_map(drained).collect();
         for engine in drained {
-            let keeps_floors = self.keeps_floors_without(&engine);
+            let floors_hold = self.floors_hold_without(&engine);
             let Some(change) = self.engines.get_mut(&engine) else { continue };
-            if !keeps_floors {
-                let outcome = change.call_off(now, self.config.retry_delay);
-                self.count(&engine, outcome);
+            if !floors_hold {
+                let outcome = change.cancel_drain(now, self.config.retry_delay);
+                self.count_outcome(&engine, outcome);
                 continue;
             }
             let id = OrderId { term, sequence: self.last_sequence + 1 };
-            if let Some(order) = change.give_order(id, now) {
+            if let Some(order) = change.create_order(id, now) {
                 self.last_sequence = id.sequence;
                 let send_before = now + self.timing.send_within;
                 self.actions.push(AuthorityAction::SendOrder { engine, order, send_before });
@@ -284,17 +285,17 @@
     }
 
     fn start_drains(&mut self, activity: &PoolActivity, now: Timestamp) {
-        let wants = |(engine, change): (&EngineName, &EngineChange)| {
+        let ready = |(engine, change): (&EngineName, &EngineChange)| {
             let known = activity.engines.contains_key(engine);
-            (known && change.wants_change(now)).then(|| (in_flight(activity, engine), engine.clone()))
+            (known && change.can_start_drain(now)).then(|| (in_flight(activity, engine), engine.clone()))
         };
-        let mut waiting: Vec<(u32, EngineName)> = self.engines.iter().filter_map(wants).collect();
+        let mut waiting: Vec<(u32, EngineName)> = self.engines.iter().filter_map(ready).collect();
         waiting.sort();
         for (_, engine) in waiting {
-            if self.changing_now(now) >= self.config.concurrent_changes {
+            if self.changing_count(now) >= self.config.concurrent_changes {
                 return;
             }
-            if !self.has_load_slot(&engine, now) || !self.keeps_floors_without(&engine) {
+            if !self.has_load_slot(&engine, now) || !self.floors_hold_without(&engine) {
                 continue;
             }
             if let Some(change) = self.engines.get_mut(&engine) {
@@ -315,7 +316,7 @@
         }
     }
 
-    fn changing_now(&self, now: Timestamp) -> usize {
+    fn changing_count(&self, now: Timestamp) -> usize {
         self.engines.values().filter(|change| change.occupies_slot(now, &self.config)).count()
     }
 
@@ -328,8 +329,8 @@
         self.engines.values().filter(loading).count() < self.config.concurrent_loads
     }
 
-    /// Whether the other engines are enough for what `engine` serves now.
-    fn keeps_floors_without(&self, engine: &EngineName) -> bool {
+    /// Whether the other engines meet the floors for the stages that `engine` serves now.
+    fn floors_hold_without(&self, engine: &EngineName) -> bool {
         let Some(role) = self.reported_role(engine) else { return false };
         let others = |serves: fn(EngineRole) -> bool| {
             let serves = |change: &EngineChange| change.report().is_some_and(|report| serves(report.role));
@@ -343,7 +344,7 @@
         prefill && decode
     }
 
-    fn count(&mut self, engine: &EngineName, outcome: ChangeOutcome) {
+    fn count_outcome(&mut self, engine: &EngineName, outcome: ChangeOutcome) {
         let counters = &mut self.counters;
         match outcome {
             ChangeOutcome::Nothing => {}
@@ -356,7 +357,7 @@
                 let engine = engine.clone();
                 self.completed.push(CompletedChange { engine, action, role_before, out_of_service });
             }
-            ChangeOutcome::CalledOff => counters.called_off += 1,
+            ChangeOutcome::DrainCancelled => counters.cancelled_drains += 1,
             ChangeOutcome::Failed => counters.failed += 1,
             ChangeOutcome::GivenUp => {
                 counters.failed += 1;
--- a/crates/core/src/authority/state.rs
+++ b/crates/core/src/authority/state.rs
@@ -1,4 +1,4 @@
-//! Where a node stands in acquiring and holding the authority over a pool.
+//! A node's state in acquiring and holding the authority over a pool.
 
 use super::message::AuthorityRole;
 use super::order::Term;
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
     Follower,
-    /// Needs a term and asks the store for one.
+    /// Needs a term and requests one from the store.
     Acquiring,
-    /// Raises fences under its term.
+    /// Raises the fences under its term.
     Fencing {
         term: Term,
         deadline: Timestamp,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The part that the node plays, as it publishes it.
+    /// The node's role, as it publishes it.
     pub(super) fn role(self) -> AuthorityRole {
         match self {
             State::Follower => AuthorityRole::Follower,
--- a/crates/core/src/authority/succession.rs
+++ b/crates/core/src/authority/succession.rs
@@ -1,4 +1,4 @@
-//! Which successors know their terms, and when those that don't are told.
+//! Tracks which successors know their terms, and when terms are announced to the others.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::membership::Member;
 use crate::time::Timestamp;
 
-/// The holder's account of its successors.
+/// The holder's record of its successors' acknowledgements.
 pub(super) struct Succession {
     interval: Duration,
     acknowledged: BTreeMap<Member, Term>,
@@ -20,25 +20,26 @@
         Succession { interval, acknowledged: BTreeMap::new(), next_announcement: Timestamp::ZERO }
     }
 
-    /// Forgets who knows what: the authority is lost.
+    /// Clears the acknowledgements after the authority is lost.
     pub(super) fn clear(&mut self) {
         self.acknowledged.clear();
         self.next_announcement = Timestamp::ZERO;
     }
 
-    /// A successor knows its term.
+    /// Records that the successor `member` knows its term.
     pub(super) fn acknowledge(&mut self, member: Member, term: Term) {
         self.acknowledged.insert(member, term);
     }
 
-    /// The successors of `record` that are to be told their terms now.
+    /// The grants of `record` that are to be announced to their successors now.
     pub(super) fn due(&mut self, record: &AuthorityRecord, now: Timestamp) -> Vec<TermGrant> {
         if now < self.next_announcement {
             return Vec::new();
         }
         self.next_announcement = now + self.interval;
-        let aware = |grant: &TermGrant| self.acknowledged.get(&grant.member).is_some_and(|term| *term >= grant.term);
-        record.successors.iter().copied().filter(|grant| !aware(grant)).collect()
+        let has_acknowledged =
+            |grant: &TermGrant| self.acknowledged.get(&grant.member).is_some_and(|term| *term >= grant.term);
+        record.successors.iter().copied().filter(|grant| !has_acknowledged(grant)).collect()
     }
 
     /// Successors that know their terms.
--- a/crates/core/src/authority/target.rs
+++ b/crates/core/src/authority/target.rs
@@ -1,11 +1,11 @@
-//! Which engines change to reach the roles that a policy wants.
+//! Selects the engines that change to reach the role counts that a policy wants.
 
 use std::collections::BTreeMap;
 
 use crate::policy::RoleCounts;
 use crate::world::{AdapterName, EngineName, EngineRole, ModelName, ModelVersion};
 
-/// What an engine should be.
+/// The desired role and weights of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineTarget {
     /// The role.
@@ -23,11 +23,11 @@
 pub struct RoleCandidate {
     /// The engine.
     pub engine: EngineName,
-    /// The role that it has, or is changing to.
+    /// Its current role, or the role that it is changing to.
     pub role: EngineRole,
-    /// Whether it can change now; one that is changing, lost or given up keeps its role.
+    /// Whether it can change now; an engine that is changing, is lost, or whose change was given up keeps its role.
     pub changeable: bool,
-    /// Requests that it runs: of two engines the one with less to drain changes.
+    /// Requests that it runs: of two engines, the one with fewer requests to drain changes.
     pub in_flight: u32,
 }
 
@@ -39,37 +39,37 @@
 }
 
 impl TargetRoles {
-    /// Gives the candidates the roles counted in `wanted`, with the fewest changes.
+    /// Assigns the roles counted in `wanted` to the candidates with the fewest changes.
     ///
     /// Engines beyond the sum of `wanted` keep their roles.
     pub fn choose(candidates: &[RoleCandidate], wanted: RoleCounts) -> TargetRoles {
-        let mut missing = Missing::new(wanted);
+        let mut unassigned = UnassignedRoles::new(wanted);
         let mut by_cost: Vec<&RoleCandidate> = candidates.iter().collect();
         by_cost.sort_by(|left, right| {
             let cost = |candidate: &RoleCandidate| (!candidate.changeable, candidate.in_flight);
             cost(right).cmp(&cost(left)).then_with(|| left.engine.cmp(&right.engine))
         });
         let (kept, surplus): (Vec<_>, Vec<_>) =
-            by_cost.into_iter().partition(|candidate| missing.take(candidate.role) || !candidate.changeable);
+            by_cost.into_iter().partition(|candidate| unassigned.assign(candidate.role) || !candidate.changeable);
         let mut roles: BTreeMap<EngineName, EngineRole> = BTreeMap::new();
         roles.extend(kept.into_iter().map(|candidate| (candidate.engine.clone(), candidate.role)));
         for candidate in surplus.into_iter().rev() {
-            let role = missing.take_any().unwrap_or(candidate.role);
+            let role = unassigned.assign_any().unwrap_or(candidate.role);
             roles.insert(candidate.engine.clone(), role);
         }
         TargetRoles { roles }
     }
 }
 
-/// The roles that are still to be given.
-struct Missing(RoleCounts);
+/// The role counts that are not assigned yet.
+struct UnassignedRoles(RoleCounts);
 
-impl Missing {
+impl UnassignedRoles {
     fn new(wanted: RoleCounts) -> Self {
-        Missing(wanted)
+        UnassignedRoles(wanted)
     }
 
-    fn of(&mut self, role: EngineRole) -> &mut u16 {
+    fn count_mut(&mut self, role: EngineRole) -> &mut u16 {
         match role {
             EngineRole::Prefill => &mut self.0.prefill,
             EngineRole::Decode => &mut self.0.decode,
@@ -77,14 +77,14 @@
         }
     }
 
-    fn take(&mut self, role: EngineRole) -> bool {
-        let left = self.of(role);
-        let taken = *left > 0;
-        *left -= u16::from(taken);
-        taken
+    fn assign(&mut self, role: EngineRole) -> bool {
+        let remaining = self.count_mut(role);
+        let available = *remaining > 0;
+        *remaining -= u16::from(available);
+        available
     }
 
-    fn take_any(&mut self) -> Option<EngineRole> {
-        [EngineRole::Prefill, EngineRole::Decode, EngineRole::Mixed].into_iter().find(|role| self.take(*role))
+    fn assign_any(&mut self) -> Option<EngineRole> {
+        [EngineRole::Prefill, EngineRole::Decode, EngineRole::Mixed].into_iter().find(|role| self.assign(*role))
     }
 }
--- a/crates/core/tests/authority_arbiter.rs
+++ b/crates/core/tests/authority_arbiter.rs
@@ -1,4 +1,4 @@
-//! The engine's order handling: what it refuses, and that a refusal changes nothing.
+//! The engine's order handling: which orders it refuses, and that a refusal leaves it unchanged.
 
 use havengate_core::authority::{
     EngineArbiter, EngineReport, EngineTarget, Order, OrderAction, OrderId, OrderRefusal, OrderReply, Term,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_order_is_executed_once_however_often_it_arrives() {
+fn a_repeated_order_is_executed_once() {
     let mut engine = engine();
     let first = order(3, 1, None);
     assert!(matches!(engine.order(&first), OrderReply::Accepted(report) if report.changing));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_changing_engine_takes_no_further_order() {
+fn a_changing_engine_refuses_further_orders() {
     let mut engine = engine();
     engine.order(&order(3, 1, None));
     let held = engine.report().order;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_order_for_an_earlier_life_is_refused() {
+fn an_order_for_an_earlier_incarnation_is_refused() {
     let mut engine = engine();
     engine.raise_fence(Term(5));
     engine.restart(INCARNATION + 1);
--- a/crates/core/tests/authority_changes.rs
+++ b/crates/core/tests/authority_changes.rs
@@ -1,4 +1,4 @@
-//! Authority and role changes step by step: what must not happen, in the smallest setting that could show it.
+//! Authority and role changes step by step: each test checks one rule in the smallest setup that can violate it.
 
 #[allow(dead_code, reason = "shared with the measuring example; each program uses a part of it")]
 #[path = "../examples/authority_takeover/simulation/mod.rs"]
@@ -30,14 +30,14 @@
     EngineReport { fence: TERM, ..EngineReport::started(target(EngineRole::Mixed, 1), engine_incarnation) }
 }
 
-/// A changer under authority with one engine that is to become `Decode`, and the activity that is reported of it.
-struct OneEngine {
+/// A changer under authority with one engine whose target role is `Decode`, and the activity reported for it.
+struct SingleEnginePool {
     changer: RoleChanger,
     engine: EngineName,
     activity: EngineActivity,
 }
 
-impl OneEngine {
+impl SingleEnginePool {
     fn new() -> Self {
         let engine = EngineName::from("engine-00");
         let timing = OrderTiming { send_within: Duration::from_millis(500), settle: Duration::from_secs(20) };
@@ -47,7 +47,7 @@
         let fenced = AuthorityEvent::EngineFenced { engine: engine.clone(), term: TERM, report: report(1) };
         changer.authority_event(fenced, at(0));
         changer.authority_event(AuthorityEvent::Gained { term: TERM, orders_from: at(0) }, at(0));
-        OneEngine { changer, engine, activity: EngineActivity { in_flight: 0, reported: 0, reported_at: at(0) } }
+        SingleEnginePool { changer, engine, activity: EngineActivity { in_flight: 0, reported: 0, reported_at: at(0) } }
     }
 
     fn tick(&mut self, millis: u64) -> Vec<Order> {
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn the_order_waits_until_nothing_runs_by_own_count_and_by_a_report_from_after_the_drain_began() {
-    let mut pool = OneEngine::new();
+fn the_order_waits_until_the_own_count_and_a_report_made_during_the_drain_show_an_idle_engine() {
+    let mut pool = SingleEnginePool::new();
     assert!(pool.tick(0).is_empty());
     assert_eq!(pool.availability(), EngineAvailability::Draining);
     assert!(pool.tick(1_000).is_empty(), "the report is older than the drain");
     pool.activity = EngineActivity { in_flight: 1, reported: 0, reported_at: at(1_000) };
-    assert!(pool.tick(1_100).is_empty(), "the own count shows a stream");
+    assert!(pool.tick(1_100).is_empty(), "the node's own count shows a stream");
     pool.activity = EngineActivity { in_flight: 0, reported: 1, reported_at: at(1_100) };
     assert!(pool.tick(1_200).is_empty(), "the engine reports a stream");
     pool.activity = EngineActivity { in_flight: 0, reported: 0, reported_at: at(1_200) };
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_completed_change_is_reported_once_with_the_role_before_and_the_time_out_of_service() {
-    let mut pool = OneEngine::new();
+    let mut pool = SingleEnginePool::new();
     pool.tick(0);
     pool.activity.reported_at = at(1_000);
     let order = pool.tick(1_000).remove(0);
@@ -100,18 +100,18 @@
 }
 
 #[test]
-fn a_drain_that_lasts_too_long_is_called_off_and_the_engine_serves_again() {
-    let mut pool = OneEngine::new();
+fn a_drain_that_exceeds_the_limit_is_cancelled_and_the_engine_serves_again() {
+    let mut pool = SingleEnginePool::new();
     pool.activity.in_flight = 1;
     pool.tick(0);
     assert!(pool.tick(91_000).is_empty());
     assert_eq!(pool.availability(), EngineAvailability::Serving);
-    assert_eq!(pool.changer.counters().called_off, 1);
+    assert_eq!(pool.changer.counters().cancelled_drains, 1);
 }
 
 #[test]
-fn an_order_without_reply_keeps_the_engine_out_of_service_and_is_sent_again_as_it_was() {
-    let mut pool = OneEngine::new();
+fn an_order_without_reply_keeps_the_engine_out_of_service_and_is_sent_again_unchanged() {
+    let mut pool = SingleEnginePool::new();
     pool.tick(0);
     pool.activity.reported_at = at(1_000);
     let sent = pool.tick(1_000);
@@ -121,9 +121,9 @@
     assert_eq!(pool.tick(2_200), sent);
 }
 
-/// An order whose reply is lost, and then the authority is.
-fn interrupted() -> OneEngine {
-    let mut pool = OneEngine::new();
+/// A pool whose order got no reply before the authority was lost.
+fn pool_with_unresolved_order() -> SingleEnginePool {
+    let mut pool = SingleEnginePool::new();
     pool.tick(0);
     pool.activity.reported_at = at(1_000);
     assert_eq!(pool.tick(1_000).len(), 1);
@@ -134,8 +134,8 @@
 }
 
 #[test]
-fn an_order_in_doubt_is_not_sent_again_once_the_authority_was_interrupted() {
-    let mut pool = interrupted();
+fn an_unresolved_order_is_not_sent_again_after_the_authority_was_interrupted() {
+    let mut pool = pool_with_unresolved_order();
     let engine = pool.engine.clone();
     let fenced = AuthorityEvent::EngineFenced { engine: engine.clone(), term: TERM, report: report(1) };
     pool.changer.authority_event(fenced, at(2_100));
@@ -147,12 +147,12 @@
     }
     pool.tick(22_800);
     pool.changer.engine_reply(&engine, OrderReply::Accepted(report(1)), at(22_800));
-    assert_eq!(pool.availability(), EngineAvailability::Serving, "no copy of the order can arrive any more");
+    assert_eq!(pool.availability(), EngineAvailability::Serving, "no copy of the order can arrive after this time");
 }
 
 #[test]
-fn a_fence_of_a_higher_term_ends_the_doubt_about_an_order_at_once() {
-    let mut pool = interrupted();
+fn a_fence_of_a_higher_term_resolves_an_order_immediately() {
+    let mut pool = pool_with_unresolved_order();
     let (engine, term) = (pool.engine.clone(), Term(2));
     assert_eq!(pool.availability(), EngineAvailability::Unavailable);
     let report = EngineReport { fence: term, ..report(1) };
@@ -162,7 +162,7 @@
 
 #[test]
 fn an_engine_found_changing_gets_no_order() {
-    let mut pool = OneEngine::new();
+    let mut pool = SingleEnginePool::new();
     let changing = EngineReport { changing: true, ..report(1) };
     let fenced = AuthorityEvent::EngineFenced { engine: pool.engine.clone(), term: TERM, report: changing };
     pool.changer.authority_event(fenced, at(0));
@@ -173,7 +173,7 @@
     }
 }
 
-/// A node that is ranked first and holds term 1 over three engines, of which it has heard.
+/// A node that is ranked first and holds the authority under term 1, with fences raised at three engines.
 fn holder() -> (PoolAuthority, Vec<EngineName>) {
     let member = Member { address: "10.0.0.1:7000".parse().expect("an address"), incarnation: Incarnation(1) };
     let engines: Vec<EngineName> = ["a", "b", "c"].into_iter().map(EngineName::from).collect();
@@ -201,13 +201,13 @@
     authority.step(AuthorityInput::EngineReport { engine: engines[0].clone(), report: restarted }, at(100));
     assert_eq!(authority.status().unfenced, vec![engines[0].clone()]);
     fence(&mut authority, &engines[0], 2, 200);
-    assert_eq!(authority.order_term(), None, "a later holder may have fenced the engine in its earlier life");
+    assert_eq!(authority.order_term(), None, "a later holder may have fenced the engine's previous incarnation");
     fence(&mut authority, &engines[1], 1, 300);
     assert_eq!(authority.order_term(), Some(TERM));
 }
 
 #[test]
-fn after_a_pause_the_authority_is_in_doubt_until_the_fences_are_raised_anew() {
+fn after_a_pause_no_order_is_allowed_until_the_fences_are_raised_again() {
     let (mut authority, engines) = holder();
     authority.tick(at(10_000));
     assert_eq!(authority.status().role, AuthorityRole::Candidate);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_higher_term_at_an_engine_ends_the_authority_at_once() {
+fn a_higher_term_at_an_engine_ends_the_authority_immediately() {
     let (mut authority, engines) = holder();
     let fenced_higher = EngineReport { fence: Term(9), ..report(1) };
     authority.step(AuthorityInput::EngineReport { engine: engines[2].clone(), report: fenced_higher }, at(100));
@@ -226,24 +226,24 @@
 }
 
 #[test]
-fn a_reply_to_a_write_of_a_former_life_gives_the_new_life_no_term() {
+fn a_reply_to_a_write_of_the_previous_incarnation_gives_the_new_one_no_term() {
     let address = "10.0.0.1:7000".parse().expect("an address");
-    let [former, present] = [1, 2].map(|life| Member { address, incarnation: Incarnation(life) });
-    let mut authority = PoolAuthority::new(AuthorityConfig::default(), pool(), former, at(0));
-    authority.step(AuthorityInput::OwnerRanking(vec![former]), at(0));
+    let [previous, current] = [1, 2].map(|incarnation| Member { address, incarnation: Incarnation(incarnation) });
+    let mut authority = PoolAuthority::new(AuthorityConfig::default(), pool(), previous, at(0));
+    authority.step(AuthorityInput::OwnerRanking(vec![previous]), at(0));
     authority.step(AuthorityInput::StoreReply(StoreReply::Object(None)), at(0));
-    authority.rejoin(present, at(100));
+    authority.rejoin(current, at(100));
     authority.take_ready();
-    authority.step(AuthorityInput::OwnerRanking(vec![present]), at(100));
-    assert!(authority.take_ready().is_empty(), "the write of the former life is still under way");
+    authority.step(AuthorityInput::OwnerRanking(vec![current]), at(100));
+    assert!(authority.take_ready().is_empty(), "the write of the previous incarnation is still pending");
     authority.step(AuthorityInput::StoreReply(StoreReply::Written(Revision(1))), at(200));
-    assert_eq!(authority.status().term, None, "term 1 belongs to the former life");
+    assert_eq!(authority.status().term, None, "term 1 belongs to the previous incarnation");
     authority.step(AuthorityInput::StoreReply(StoreReply::Written(Revision(2))), at(300));
     assert_eq!(authority.status().term, Some(Term(2)));
 }
 
 #[test]
-fn without_authority_an_engine_is_used_only_when_no_earlier_order_can_be_on_its_way() {
+fn without_authority_an_engine_is_used_only_when_no_earlier_order_can_be_in_transit() {
     let member = Member { address: "10.0.0.1:7000".parse().expect("an address"), incarnation: Incarnation(1) };
     let config = AuthorityConfig { pause_limit: Duration::from_secs(60), ..AuthorityConfig::default() };
     let mut authority = PoolAuthority::new(config, pool(), member, at(0));
@@ -251,7 +251,7 @@
     assert!(!authority.may_use_unfenced(at(5_900)));
     assert!(authority.may_use_unfenced(at(6_000)));
     assert_eq!(
-        OneEngine::new().changer.availability(&EngineName::from("engine-00"), false),
+        SingleEnginePool::new().changer.availability(&EngineName::from("engine-00"), false),
         EngineAvailability::Serving
     );
     let timing = OrderTiming { send_within: Duration::from_millis(500), settle: Duration::from_secs(5) };
--- a/crates/core/tests/authority_faults.rs
+++ b/crates/core/tests/authority_faults.rs
@@ -1,4 +1,4 @@
-//! The authority under random schedules of faults: safety at every step, and recovery once the faults are over.
+//! The authority under random fault schedules: safety at every step, and recovery after the faults end.
 
 #[allow(dead_code, reason = "shared with the measuring example; each program uses a part of it")]
 #[path = "../examples/authority_takeover/simulation/mod.rs"]
@@ -50,7 +50,7 @@
     let roles = [EngineRole::Mixed, EngineRole::Prefill, EngineRole::Decode];
     (0..ENGINES)
         .map(|index| {
-            // The first three stay `Mixed`: one of them can change while the others keep the floors.
+            // The first three stay `Mixed`: one of them can change while the others meet the floors.
             let role = if index < 3 { EngineRole::Mixed } else { *u.choose(&roles)? };
             Ok(target(role, version))
         })
@@ -62,9 +62,10 @@
     let config = SimulationConfig {
         network,
         suspends,
-        // Two nodes that both believe for long that they come first would place work without knowing of each other.
+        // Without suspension, two nodes that both rank themselves first for a long time would place streams without
+        // knowing of each other's.
         streams_per_second: if suspends { 4.0 } else { 0.0 },
-        ..SimulationConfig::quiet(NODES, ENGINES)
+        ..SimulationConfig::without_faults(NODES, ENGINES)
     };
     Ok(Simulation::new(u.arbitrary()?, config))
 }
@@ -88,7 +89,7 @@
     Ok(())
 }
 
-/// With all faults over, the node that ranks first holds the authority alone, and all engines reach their targets.
+/// Ends all faults, then checks that the node ranked first is the only holder and that all engines reach their targets.
 fn recover(simulation: &mut Simulation) {
     simulation.set_network(NetworkFaults::default());
     (simulation.store.lost_replies, simulation.store.stale_reads) = (0.0, 0.0);
@@ -111,30 +112,33 @@
     );
 }
 
-fn quiet(seed: u64) -> Simulation {
-    let mut simulation = Simulation::new(seed, SimulationConfig::quiet(NODES, ENGINES));
+fn settled_simulation(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed, SimulationConfig::without_faults(NODES, ENGINES));
     simulation.run(Duration::from_secs(10));
     assert!(simulation.is_settled());
     simulation
 }
 
-/// From the death to the new holder's publication, the time to detect the death included.
+/// Measured from the death of the holder to the new holder's publication, including the failure detection time.
 #[test]
 fn authority_is_taken_over_within_five_seconds_of_a_death_with_and_without_the_store() {
     for (seed, store_down) in (1..=50).flat_map(|seed| [(seed, false), (seed, true)]) {
-        let mut simulation = quiet(seed);
+        let mut simulation = settled_simulation(seed);
         simulation.apply(Fault::StoreDown(store_down));
-        for (dead, heir) in [(0, 1), (1, 2)] {
+        for (dead, successor) in [(0, 1), (1, 2)] {
             simulation.apply(Fault::KillNode(dead));
             let taken = simulation.run_to_takeover(dead, Duration::from_secs(5));
-            assert!(taken.is_some() && simulation.is_holder(heir), "seed {seed}, store down {store_down}, {dead} died");
+            assert!(
+                taken.is_some() && simulation.is_holder(successor),
+                "seed {seed}, store down {store_down}, {dead} died"
+            );
         }
     }
 }
 
 #[test]
-fn a_planned_leave_hands_authority_over_without_the_store() {
-    let mut simulation = quiet(1);
+fn a_leaving_node_hands_the_authority_over_without_the_store() {
+    let mut simulation = settled_simulation(1);
     simulation.apply(Fault::StoreDown(true));
     simulation.apply(Fault::LeaveNode(0));
     simulation.run(Duration::from_secs(5));
@@ -143,7 +147,7 @@
 
 #[test]
 fn a_change_that_crashes_the_engine_is_given_up_and_the_engine_serves_on() {
-    let mut simulation = quiet(1);
+    let mut simulation = settled_simulation(1);
     simulation.apply(Fault::CrashOnOrders(4, true));
     let mut targets = vec![target(EngineRole::Mixed, 1); ENGINES];
     targets[4] = target(EngineRole::Decode, 1);
@@ -156,7 +160,7 @@
 
 #[test]
 fn nothing_is_written_to_or_read_from_the_store_while_nothing_changes() {
-    let mut simulation = quiet(1);
+    let mut simulation = settled_simulation(1);
     let before = simulation.store.operations;
     simulation.run(Duration::from_secs(600));
     assert_eq!(simulation.store.operations, before);
@@ -165,11 +169,11 @@
 #[test]
 fn floors_bound_how_many_engines_change_at_once() {
     let floors = RoleFloors { prefill: 3, decode: 2 };
-    let mut simulation = Simulation::new(1, SimulationConfig { floors, ..SimulationConfig::quiet(2, 4) });
+    let mut simulation = Simulation::new(1, SimulationConfig { floors, ..SimulationConfig::without_faults(2, 4) });
     let roles = [EngineRole::Decode, EngineRole::Decode, EngineRole::Mixed, EngineRole::Mixed];
     simulation.set_targets(roles.into_iter().map(|role| target(role, 1)).collect());
     simulation.run(Duration::from_secs(120));
-    assert_eq!(simulation.checks.orders, 1, "with one engine less for prompts no other may leave");
+    assert_eq!(simulation.checks.orders, 1, "one engine fewer serves prefill, so no other may change");
 }
 
 #[test]
