--- a/crates/core/src/authority/pool_authority.rs
+++ b/crates/core/src/authority/pool_authority.rs
@@ -338,12 +338,12 @@
     /// Writes the record only when it differs from the desired one: nothing is written while nothing changes.
     fn publish(&mut self, term: Term, now: Timestamp) {
         let holder = TermGrant { member: self.me, term };
-        let successors = self.successors();
-        let up_to_date = |record: &super::AuthorityRecord| record.held_by(holder, &successors) == *record;
+        let successor_members = self.successor_members();
+        let up_to_date = |record: &super::AuthorityRecord| record.held_by(holder, &successor_members) == *record;
         if self.store.known().is_some_and(|known| up_to_date(&known.record)) {
             return;
         }
-        let request = self.store.request(now, |record| record.held_by(holder, &successors));
+        let request = self.store.request(now, |record| record.held_by(holder, &successor_members));
         self.actions.extend(request.map(AuthorityAction::Store));
     }
 
@@ -369,7 +369,7 @@
         self.step_down();
     }
 
-    fn successors(&self) -> Vec<Member> {
+    fn successor_members(&self) -> Vec<Member> {
         self.ranking.iter().copied().filter(|member| *member != self.me).take(SUCCESSORS).collect()
     }
 
--- a/crates/core/src/authority/record.rs
+++ b/crates/core/src/authority/record.rs
@@ -63,16 +63,16 @@
         record
     }
 
-    /// The record with `holder` as holder and a term for each of `successors`.
+    /// The record with `holder` as holder and a term for each of `successor_members`.
     ///
     /// The successors' terms rise in their order and are above the holder's, so that each can succeed all before it. A
     /// grant that already fits is kept: the successor knows it, and the record need not be written again.
-    pub fn held_by(&self, holder: TermGrant, successors: &[Member]) -> AuthorityRecord {
+    pub fn held_by(&self, holder: TermGrant, successor_members: &[Member]) -> AuthorityRecord {
         let mut record = self.clone();
         record.holder = Some(holder);
         record.successors = Vec::new();
         let mut last = holder.term;
-        for successor in successors.iter().take(SUCCESSORS) {
+        for successor in successor_members.iter().take(SUCCESSORS) {
             let kept = self.grant_of(*successor).filter(|term| *term > last);
             let grant = match kept {
                 Some(term) => TermGrant { member: *successor, term },
