--- a/crates/core/examples/configuration_scale.rs
+++ b/crates/core/examples/configuration_scale.rs
@@ -47,7 +47,7 @@
 fn measure(deployment: &Deployment) {
     let nodes = deployment.zones * deployment.nodes_per_zone;
     let engines = nodes * ENGINES_PER_NODE;
-    let mut world = running(deployment, engines);
+    let mut world = started_world(deployment, engines);
     let idle = Cost::of(&mut world, |world| world.run(IDLE_TIME));
     let mut times = Vec::new();
     let mut accepted = Vec::new();
@@ -122,7 +122,7 @@
 }
 
 /// A world that serves by its first configuration.
-fn running(deployment: &Deployment, engines: usize) -> World {
+fn started_world(deployment: &Deployment, engines: usize) -> World {
     let faults = NetworkFaults {
         delay_minimum: Duration::from_micros(500),
         delay_maximum: Duration::from_micros(3_000),
--- a/crates/core/src/configuration/acknowledgements.rs
+++ b/crates/core/src/configuration/acknowledgements.rs
@@ -24,13 +24,13 @@
 
 impl Acknowledgements {
     /// Notes what a member holds.
-    pub fn note(&mut self, member: Member, holding: Holding) {
+    pub fn record(&mut self, member: Member, holding: Holding) {
         let known = self.members.entry(member).or_default();
         *known = known.maximum(holding);
     }
 
     /// Notes what a zone holds.
-    pub fn note_zone(&mut self, statement: ZoneHolding) {
+    pub fn record_zone(&mut self, statement: ZoneHolding) {
         let Some(known) = self.zones.get_mut(&statement.zone) else {
             self.zones.insert(statement.zone.clone(), statement);
             return;
@@ -51,8 +51,8 @@
         let members = view.digest(zone)?;
         let holdings = || view.in_zone(zone).map(|member| (member, self.holding_of(member)));
         let minimum = holdings().map(|(_, holding)| holding).reduce(Holding::minimum).unwrap_or_default();
-        let most = holdings().map(|(_, holding)| holding).reduce(Holding::maximum).unwrap_or_default();
-        let behind = holdings().filter(|(_, holding)| *holding != most).map(|(member, _)| member);
+        let maximum = holdings().map(|(_, holding)| holding).reduce(Holding::maximum).unwrap_or_default();
+        let behind = holdings().filter(|(_, holding)| *holding != maximum).map(|(member, _)| member);
         let behind = behind.take(BEHIND_MAXIMUM).collect();
         Some(ZoneHolding { zone: zone.clone(), members, minimum, behind })
     }
--- a/crates/core/src/configuration/coordination.rs
+++ b/crates/core/src/configuration/coordination.rs
@@ -12,14 +12,14 @@
 
 impl ConfigurationReplica {
     /// Whether this node is the coordinator and may act as such: a node that is not ready may not know all live nodes.
-    pub(super) fn coordinates(&self) -> bool {
+    pub(super) fn is_acting_coordinator(&self) -> bool {
         self.is_ready() && self.view.coordinator() == Some(self.me)
     }
 
     /// Tells the zone's delegate what this node holds.
     pub(super) fn acknowledge(&mut self, now: Timestamp) {
         let holding = self.versions.holding();
-        self.acknowledgements.note(self.me, holding);
+        self.acknowledgements.record(self.me, holding);
         let Some(delegate) = self.view.delegate(&self.zone) else { return };
         if delegate == self.me {
             self.report_zone(now);
@@ -38,14 +38,14 @@
         if known.maximum(statement.minimum) == known {
             return;
         }
-        self.acknowledgements.note_zone(statement);
+        self.acknowledgements.record_zone(statement);
         self.send_zone_statement(now);
     }
 
     /// As the coordinator, brings into force what every required node holds, and declares accepted what every required
     /// node has in force.
     pub(super) fn coordinate(&mut self, now: Timestamp) {
-        if !self.coordinates() {
+        if !self.is_acting_coordinator() {
             return;
         }
         let minimum = self.required_minimum();
@@ -57,7 +57,7 @@
 
     /// The version to bring into force, when every required node holds one that is not in force yet.
     pub(super) fn activation_target(&self) -> Option<ConfigurationVersion> {
-        if !self.coordinates() {
+        if !self.is_acting_coordinator() {
             return None;
         }
         let held = self.required_minimum().held;
@@ -65,16 +65,16 @@
     }
 
     /// Whether this node holds a version that it does not know to be accepted.
-    pub(super) fn is_unsettled(&self) -> bool {
+    pub(super) fn has_unaccepted_version(&self) -> bool {
         self.versions.held() > self.versions.accepted()
     }
 
     /// Repeats what may have been lost, as long as a version that this node holds is not accepted.
     pub(super) fn retry(&mut self, now: Timestamp) {
-        if self.needs_proof(now) {
+        if self.needs_store_proof(now) {
             self.start_store_cycle(now);
         }
-        if !self.is_unsettled() {
+        if !self.has_unaccepted_version() {
             return;
         }
         self.acknowledge(now);
@@ -82,11 +82,11 @@
             self.send_zone_statement(now);
             self.update_members_behind();
         }
-        if self.coordinates() {
+        if self.is_acting_coordinator() {
             self.update_zones_behind();
             self.coordinate(now);
         }
-        self.ask_missing();
+        self.request_missing();
     }
 
     /// Live members of the zones that hold up a version: those that the delegate has named as behind, or the delegate
@@ -104,13 +104,13 @@
     }
 
     /// Asks who holds up a version that an operator has confirmed at this node and may be waiting for.
-    fn ask_missing(&mut self) {
-        if self.asked_about <= self.versions.accepted() {
+    fn request_missing(&mut self) {
+        if self.confirmed_here <= self.versions.accepted() {
             return;
         }
         let coordinator = self.view.coordinator().filter(|coordinator| *coordinator != self.me);
         if let Some(coordinator) = coordinator {
-            self.send(coordinator, ConfigurationMessage::AskMissing);
+            self.send(coordinator, ConfigurationMessage::RequestMissing);
         }
     }
 
@@ -143,7 +143,7 @@
         let Some(statement) = self.acknowledgements.zone_statement(&self.view, &self.zone) else { return };
         let Some(coordinator) = self.view.coordinator() else { return };
         if coordinator == self.me {
-            self.acknowledgements.note_zone(statement);
+            self.acknowledgements.record_zone(statement);
             self.coordinate(now);
         } else {
             self.send(coordinator, ConfigurationMessage::ZoneHolding(statement));
--- a/crates/core/src/configuration/item.rs
+++ b/crates/core/src/configuration/item.rs
@@ -15,7 +15,7 @@
     fn key(&self) -> String;
 
     /// Whether both have the same key. A list of thousands is searched by it, so it makes no text.
-    fn has_key_of(&self, other: &Self) -> bool;
+    fn has_same_key(&self, other: &Self) -> bool;
 }
 
 macro_rules! named_item {
@@ -27,7 +27,7 @@
                 self.name.to_string()
             }
 
-            fn has_key_of(&self, other: &Self) -> bool {
+            fn has_same_key(&self, other: &Self) -> bool {
                 self.name == other.name
             }
         })+
@@ -52,7 +52,7 @@
         format!("{low} - {high}")
     }
 
-    fn has_key_of(&self, other: &Self) -> bool {
+    fn has_same_key(&self, other: &Self) -> bool {
         let same = self.from == other.from && self.to == other.to;
         same || (self.from == other.to && self.to == other.from)
     }
@@ -60,15 +60,15 @@
 
 /// What turns the list `old` into `new`, up to the order of items; in the order of keys.
 pub(super) fn replacements<T: Item>(old: &[T], new: &[T]) -> impl Iterator<Item = Replacement<T>> {
-    let mut both: BTreeMap<String, Replacement<T>> = BTreeMap::new();
+    let mut by_key: BTreeMap<String, Replacement<T>> = BTreeMap::new();
     for item in old {
-        both.insert(item.key(), Replacement { from: Some(item.clone()), to: None });
+        by_key.insert(item.key(), Replacement { from: Some(item.clone()), to: None });
     }
     for item in new {
-        let entry = both.entry(item.key()).or_insert(Replacement { from: None, to: None });
+        let entry = by_key.entry(item.key()).or_insert(Replacement { from: None, to: None });
         entry.to = Some(item.clone());
     }
-    both.into_values().filter(|replacement| replacement.from != replacement.to)
+    by_key.into_values().filter(|replacement| replacement.from != replacement.to)
 }
 
 /// Applies one replacement to a list.
@@ -76,10 +76,10 @@
 /// # Errors
 /// When the list does not hold the old value, or already holds an item that is to be added.
 pub(super) fn replace_item<T: Item>(items: &mut Vec<T>, replacement: &Replacement<T>) -> Result<(), ChangeError> {
-    let wanted = wanted_item(replacement).ok_or(ChangeError::Malformed { kind: T::KIND })?;
-    let position = items.iter().position(|item| item.has_key_of(wanted));
+    let target = target_item(replacement).ok_or(ChangeError::Malformed { kind: T::KIND })?;
+    let position = items.iter().position(|item| item.has_same_key(target));
     if position.map(|position| &items[position]) != replacement.from.as_ref() {
-        return Err(ChangeError::OtherValue { kind: T::KIND, name: wanted.key() });
+        return Err(ChangeError::OtherValue { kind: T::KIND, name: target.key() });
     }
     match (position, &replacement.to) {
         (Some(position), Some(to)) => items[position] = to.clone(),
@@ -91,9 +91,9 @@
 }
 
 /// The item that the replacement is about; `None` when its sides are two different items, or there is none.
-fn wanted_item<T: Item>(replacement: &Replacement<T>) -> Option<&T> {
+fn target_item<T: Item>(replacement: &Replacement<T>) -> Option<&T> {
     match (&replacement.from, &replacement.to) {
-        (Some(from), Some(to)) if !from.has_key_of(to) => None,
+        (Some(from), Some(to)) if !from.has_same_key(to) => None,
         (from, to) => from.as_ref().or(to.as_ref()),
     }
 }
--- a/crates/core/src/configuration/message.rs
+++ b/crates/core/src/configuration/message.rs
@@ -107,7 +107,7 @@
     /// What a zone holds, from its delegate to the coordinator.
     ZoneHolding(ZoneHolding),
     /// Asks the coordinator which members hold up the versions that are pending.
-    AskMissing,
+    RequestMissing,
     /// The coordinator's answer: live members that lack a pending version, a few of each zone.
     Missing(Vec<Member>),
 }
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -16,7 +16,7 @@
 mod replica;
 mod spread;
 mod status;
-mod store_conversation;
+mod store_client;
 mod synchronization;
 mod validate;
 mod versions;
@@ -33,7 +33,7 @@
 pub use replacement::{ChangeError, Replacement};
 pub use replica::{ConfigurationAction, ConfigurationInput, ConfigurationReplica};
 pub use status::{ConfigurationStatus, PendingVersion, VersionState};
-pub use store_conversation::StoreToken;
+pub use store_client::StoreToken;
 pub use validate::ConfigurationError;
 pub(crate) use validate::Problems;
 pub use versions::VersionedConfiguration;
--- a/crates/core/src/configuration/replica.rs
+++ b/crates/core/src/configuration/replica.rs
@@ -9,7 +9,7 @@
 use super::content::ConfigurationVersion;
 use super::message::{ConfigurationMessage, Watermarks};
 use super::record::ConfigurationRecord;
-use super::store_conversation::{StoreConversation, StoreToken};
+use super::store_client::{StoreClient, StoreToken};
 use super::synchronization::Synchronization;
 use super::versions::{Progress, VersionedConfiguration, Versions};
 use super::view::LiveView;
@@ -19,7 +19,7 @@
 use crate::world::ZoneName;
 
 /// A gap of so many retry intervals is no mere delay of a timer.
-const LATE_RETRIES: u32 = 2;
+const PAUSE_IN_RETRY_INTERVALS: u32 = 2;
 
 /// What a replica is told.
 #[derive(Clone, Debug)]
@@ -88,11 +88,11 @@
     pub(super) versions: Versions,
     pub(super) acknowledgements: Acknowledgements,
     pub(super) synchronization: Synchronization,
-    pub(super) store: StoreConversation,
+    pub(super) store: StoreClient,
     pub(super) actions: Vec<ConfigurationAction>,
     pub(super) digests_sent: u32,
     pub(super) reported_missing: Vec<Member>,
-    pub(super) asked_about: Option<ConfigurationVersion>,
+    pub(super) confirmed_here: Option<ConfigurationVersion>,
     view_complete_at: Timestamp,
     floor: ConfigurationVersion,
     in_force: Option<VersionedConfiguration>,
@@ -118,11 +118,11 @@
             versions: Versions::default(),
             acknowledgements: Acknowledgements::default(),
             synchronization: Synchronization::default(),
-            store: StoreConversation::default(),
+            store: StoreClient::default(),
             actions: Vec::new(),
             digests_sent: 0,
             reported_missing: Vec::new(),
-            asked_about: None,
+            confirmed_here: None,
             view_complete_at: Timestamp::ZERO,
             floor: ConfigurationVersion::default(),
             in_force: None,
@@ -163,15 +163,15 @@
 
     /// Takes in an event.
     pub fn step(&mut self, input: ConfigurationInput, now: Timestamp) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let before = self.versions.progress();
-        let sender = self.take_in(input, now);
+        let sender = self.apply_input(input, now);
         self.follow_up(before, sender, now);
     }
 
     /// Does what is due at `now`.
     pub fn tick(&mut self, now: Timestamp) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let before = self.versions.progress();
         if now >= self.next_digest {
             self.next_digest = now + self.digest_interval();
@@ -198,7 +198,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn take_in(&mut self, input: ConfigurationInput, now: Timestamp) -> Option<Member> {
+    fn apply_input(&mut self, input: ConfigurationInput, now: Timestamp) -> Option<Member> {
         match input {
             ConfigurationInput::View(view) => self.change_view(view, now),
             ConfigurationInput::Message { from, message } => {
@@ -207,7 +207,7 @@
             }
             ConfigurationInput::Store { token, reply } => self.store_replied(token, reply, now),
             ConfigurationInput::Recorded(record) => {
-                self.asked_about = Some(record.latest());
+                self.confirmed_here = Some(record.latest());
                 self.observe(&record);
             }
             ConfigurationInput::Floor(floor) => self.floor = self.floor.max(floor),
@@ -223,7 +223,7 @@
         self.acknowledgements.retain(&self.view);
         self.choose_watchers();
         self.retry_soon(now);
-        if self.is_unsettled() {
+        if self.has_unaccepted_version() {
             self.acknowledge(now);
         }
     }
@@ -232,7 +232,7 @@
         if !self.synchronization.is_trusted() {
             self.synchronization.trust(&self.config, now);
             self.start_watching(now);
-            self.drop_outstanding();
+            self.discard_outstanding();
             self.view_complete_at = now + self.config.view_complete_after;
         }
     }
@@ -249,21 +249,21 @@
 
     fn suspend(&mut self) {
         self.synchronization.suspend();
-        self.drop_outstanding();
+        self.discard_outstanding();
     }
 
-    fn notice_pause(&mut self, now: Timestamp) {
+    fn detect_pause(&mut self, now: Timestamp) {
         let gap = self.last_call.replace(now).map_or(Duration::ZERO, |last_call| now.since(last_call));
         if gap > self.config.pause_maximum && self.synchronization.is_trusted() {
             self.synchronization.restart(&self.config, now);
-            self.drop_outstanding();
-        } else if gap > self.config.retry_interval * LATE_RETRIES && !self.is_ready() {
+            self.discard_outstanding();
+        } else if gap > self.config.retry_interval * PAUSE_IN_RETRY_INTERVALS && !self.is_ready() {
             self.synchronization.postpone(gap);
         }
     }
 
     /// Does what follows from a change of the versions held since `before`.
-    fn follow_up(&mut self, before: Progress, told_by: Option<Member>, now: Timestamp) {
+    fn follow_up(&mut self, before: Progress, source: Option<Member>, now: Timestamp) {
         if self.versions.holding() != before.holding {
             self.versions.trim(self.config.log_maximum);
             self.acknowledge(now);
@@ -271,7 +271,7 @@
         self.adopt();
         if self.versions.watermarks() != before.watermarks {
             self.retry_soon(now);
-            self.push_news(before.watermarks, told_by);
+            self.push_updates(before.watermarks, source);
         }
     }
 
@@ -296,7 +296,7 @@
 
     /// The time until the next retry doubles up to a maximum, so that a long split costs little.
     fn retry_interval(&self) -> Duration {
-        if !self.is_unsettled() || !self.is_ready() {
+        if !self.has_unaccepted_version() || !self.is_ready() {
             return self.config.retry_interval;
         }
         let interval = self.config.retry_interval * 2_u32.saturating_pow(self.retries.saturating_sub(1).min(16));
--- a/crates/core/src/configuration/spread.rs
+++ b/crates/core/src/configuration/spread.rs
@@ -13,29 +13,29 @@
             ConfigurationMessage::Digest { watermarks, probe } => self.compare(from, watermarks, probe),
             ConfigurationMessage::Answer { watermarks, probe, ready } => {
                 if ready {
-                    self.synchronization.answered(probe, watermarks.in_force);
+                    self.synchronization.record_answer(probe, watermarks.in_force);
                 }
-                self.note_watermarks(watermarks);
+                self.raise_watermarks(watermarks);
             }
             ConfigurationMessage::Update { watermarks, changes } => {
                 self.versions.add_changes(changes);
-                self.note_watermarks(watermarks);
+                self.raise_watermarks(watermarks);
                 self.ask_if_behind(from, watermarks);
             }
             ConfigurationMessage::Snapshot { watermarks, version, configuration, changes } => {
                 self.versions.load(version, *configuration);
                 self.versions.add_changes(changes);
-                self.note_watermarks(watermarks);
+                self.raise_watermarks(watermarks);
             }
             ConfigurationMessage::Holding(holding) => {
-                self.acknowledgements.note(from, holding);
+                self.acknowledgements.record(from, holding);
                 self.report_zone(now);
             }
             ConfigurationMessage::ZoneHolding(statement) => {
-                self.acknowledgements.note_zone(statement);
+                self.acknowledgements.record_zone(statement);
                 self.coordinate(now);
             }
-            ConfigurationMessage::AskMissing => {
+            ConfigurationMessage::RequestMissing => {
                 let missing = self.members_behind();
                 self.send(from, ConfigurationMessage::Missing(missing));
             }
@@ -58,7 +58,7 @@
     }
 
     /// Pushes what has been learnt since `before` to a few random peers, but not to the one that told it.
-    pub(super) fn push_news(&mut self, before: Watermarks, told_by: Option<Member>) {
+    pub(super) fn push_updates(&mut self, before: Watermarks, source: Option<Member>) {
         if let Some(accepted) = self.versions.accepted()
             && self.versions.accepted() > before.accepted
         {
@@ -67,7 +67,7 @@
         let Some(changes) = self.versions.changes_after(before.held) else { return };
         let mut peers = self.random_peers(false, self.config.local_fan_out);
         peers.extend(self.random_peers(true, self.config.remote_fan_out));
-        for peer in peers.into_iter().filter(|peer| Some(*peer) != told_by) {
+        for peer in peers.into_iter().filter(|peer| Some(*peer) != source) {
             self.send_update(peer, changes.clone());
         }
     }
@@ -117,7 +117,7 @@
         }
     }
 
-    fn note_watermarks(&mut self, watermarks: Watermarks) {
+    fn raise_watermarks(&mut self, watermarks: Watermarks) {
         self.versions.raise_recorded(watermarks.in_force);
         self.versions.raise_accepted(watermarks.accepted);
     }
@@ -130,8 +130,8 @@
 
     /// Random live peers, of the own zone or of the others.
     fn random_peers(&mut self, remote: bool, amount: usize) -> Vec<Member> {
-        let of_interest = |live: &&super::LiveMember| (live.zone != self.zone) == remote && live.member != self.me;
-        let peers = self.view.members().iter().filter(of_interest).map(|live| live.member);
+        let is_candidate = |live: &&super::LiveMember| (live.zone != self.zone) == remote && live.member != self.me;
+        let peers = self.view.members().iter().filter(is_candidate).map(|live| live.member);
         self.random.choose_multiple(peers, amount)
     }
 }
--- a/crates/core/src/configuration/store_conversation.rs
+++ b/crates/core/src/configuration/store_client.rs
@@ -15,11 +15,11 @@
 pub struct StoreToken(pub u64);
 
 /// Probes of peers that go unanswered before the store is asked for proof.
-const PROBES_BEFORE_PROOF: u32 = 2;
+const PROBES_BEFORE_STORE_PROOF: u32 = 2;
 
 /// The replica's side of the conversation.
 #[derive(Default)]
-pub(super) struct StoreConversation {
+pub(super) struct StoreClient {
     token: StoreToken,
     outstanding: Option<Outstanding>,
     next_watch: Timestamp,
@@ -80,7 +80,7 @@
     }
 
     /// Drops the reply that is outstanding: a proof that was begun before a check started again proves nothing for it.
-    pub(super) fn drop_outstanding(&mut self) {
+    pub(super) fn discard_outstanding(&mut self) {
         self.store.outstanding = None;
     }
 
@@ -113,7 +113,7 @@
     fn record_read(&mut self, object: Option<StoredObject>, now: Timestamp) {
         let Some(known) = KnownRecord::parse(object) else { return };
         self.observe(&known.record);
-        if self.needs_proof(now) {
+        if self.needs_store_proof(now) {
             let unchanged = known.record.clone();
             self.write_record(known.revision, unchanged, now);
             return;
@@ -135,7 +135,7 @@
     fn record_written(&mut self, record: &ConfigurationRecord, now: Timestamp) {
         self.observe(record);
         if !self.is_ready() {
-            self.synchronization.reach(Some(record.in_force));
+            self.synchronization.raise_target(Some(record.in_force));
         }
         if self.lacks_snapshot(record) {
             self.read_snapshot(record.clone(), now);
@@ -202,8 +202,8 @@
     }
 
     /// Whether no peer has vouched for this node in good time, so that the store has to: the coordinator asks for all.
-    pub(super) fn needs_proof(&self, now: Timestamp) -> bool {
-        let patience = self.config.retry_interval * PROBES_BEFORE_PROOF;
+    pub(super) fn needs_store_proof(&self, now: Timestamp) -> bool {
+        let patience = self.config.retry_interval * PROBES_BEFORE_STORE_PROOF;
         let unanswered = !self.is_ready() && self.synchronization.is_settled(now - patience);
         unanswered && self.view.coordinator() == Some(self.me)
     }
@@ -214,8 +214,8 @@
 
     fn should_compact(&self, record: &ConfigurationRecord) -> bool {
         let size: usize = record.log.iter().map(|change| change.changes.len().max(1)).sum();
-        let reaches = self.versions.version() == Some(record.in_force) && record.in_force > record.snapshot;
-        self.coordinates() && reaches && size > self.config.compact_above
+        let has_caught_up = self.versions.version() == Some(record.in_force) && record.in_force > record.snapshot;
+        self.is_acting_coordinator() && has_caught_up && size > self.config.compact_above
     }
 
     fn is_watching(&self) -> bool {
--- a/crates/core/src/configuration/synchronization.rs
+++ b/crates/core/src/configuration/synchronization.rs
@@ -74,14 +74,14 @@
     }
 
     /// Takes in a ready peer's answer; it counts when its probe was sent after settling.
-    pub fn answered(&mut self, probe: ProbeId, in_force: Option<ConfigurationVersion>) {
+    pub fn record_answer(&mut self, probe: ProbeId, in_force: Option<ConfigurationVersion>) {
         if self.first_probe.is_some_and(|first| probe >= first && probe <= self.last_probe) {
-            self.reach(in_force);
+            self.raise_target(in_force);
         }
     }
 
     /// Notes the version that must be in force here before the node is ready.
-    pub fn reach(&mut self, in_force: Option<ConfigurationVersion>) {
+    pub fn raise_target(&mut self, in_force: Option<ConfigurationVersion>) {
         self.target = Some(self.target.flatten().max(in_force));
     }
 
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -11,4 +11,4 @@
 pub use config::{ControlConfig, ControlConfigError};
 pub use message::{ControlAction, ControlInput, ControlMessage, PoolChange, StoreCaller};
 pub use node_control::{ControlStatus, NodeControl, NodeIdentity};
-pub use pools::{PoolStanding, link_latency};
+pub use pools::{LocalPool, link_latency};
--- a/crates/core/src/control/node_control.rs
+++ b/crates/core/src/control/node_control.rs
@@ -5,7 +5,7 @@
 
 use super::config::{ControlConfig, ControlConfigError};
 use super::message::{ControlAction, ControlInput, ControlMessage, PoolChange, StoreCaller};
-use super::pools::{Fleet, PoolStanding};
+use super::pools::{Fleet, LocalPool};
 use crate::authority::AuthorityInput;
 use crate::configuration::{
     Configuration, ConfigurationAction, ConfigurationInput, ConfigurationReplica, ConfigurationVersion, LiveMember,
@@ -51,7 +51,7 @@
     replica: ConfigurationReplica,
     in_force: Arc<Configuration>,
     version: Option<ConfigurationVersion>,
-    pools: BTreeMap<PoolId, PoolStanding>,
+    pools: BTreeMap<PoolId, LocalPool>,
     leaving: bool,
     next_pool_tick: Timestamp,
     revision: u64,
@@ -86,7 +86,7 @@
             revision: 0,
             actions: Vec::new(),
         };
-        control.share_view(now);
+        control.propagate_view(now);
         control.follow_up(now);
         Ok(control)
     }
@@ -95,7 +95,7 @@
     pub fn step(&mut self, input: ControlInput, now: Timestamp) {
         match input {
             ControlInput::Datagram { from, message } => self.membership.step(from, message, now),
-            ControlInput::Peer { from, message } => self.peer_message(from, message, now),
+            ControlInput::Peer { from, message } => self.handle_peer_message(from, message, now),
             ControlInput::StoreReply { caller, reply } => match caller {
                 StoreCaller::Configuration(token) => {
                     self.replica.step(ConfigurationInput::Store { token, reply }, now);
@@ -109,7 +109,7 @@
                 self.step_pool(&pool, AuthorityInput::EngineReply { engine, reply }, now);
             }
             ControlInput::Observation { pool, observation } => {
-                if let Some(control) = self.pools.get_mut(&pool).and_then(|standing| standing.control.as_mut()) {
+                if let Some(control) = self.pools.get_mut(&pool).and_then(|local_pool| local_pool.control.as_mut()) {
                     control.observe(observation);
                 }
             }
@@ -129,8 +129,8 @@
         self.replica.tick(now);
         if now >= self.next_pool_tick {
             self.next_pool_tick = now + self.config.pool_tick_interval;
-            for standing in self.pools.values_mut() {
-                if let Some(control) = &mut standing.control {
+            for local_pool in self.pools.values_mut() {
+                if let Some(control) = &mut local_pool.control {
                     control.tick(now);
                 }
             }
@@ -151,9 +151,9 @@
 
     /// The changes of engines that this node has ordered, completed since the last call.
     pub fn take_completed_changes(&mut self) -> Vec<PoolChange> {
-        let changes = |(pool, standing): (&PoolId, &mut PoolStanding)| {
+        let changes = |(pool, local_pool): (&PoolId, &mut LocalPool)| {
             let pool = pool.clone();
-            let completed = standing.take_completed().into_iter();
+            let completed = local_pool.take_completed().into_iter();
             completed.map(move |change| PoolChange { pool: pool.clone(), change })
         };
         self.pools.iter_mut().flat_map(changes).collect()
@@ -163,11 +163,11 @@
     pub fn rejoin(&mut self, incarnation: Incarnation, now: Timestamp) -> Member {
         let me = self.membership.rejoin(incarnation, now);
         self.replica.step(ConfigurationInput::Rejoined(me), now);
-        for standing in self.pools.values_mut() {
-            standing.rejoin(me, now);
+        for local_pool in self.pools.values_mut() {
+            local_pool.rejoin(me, now);
         }
         self.configure_pools(now);
-        self.share_view(now);
+        self.propagate_view(now);
         self.follow_up(now);
         me
     }
@@ -215,11 +215,11 @@
     }
 
     /// All pools.
-    pub fn pools(&self) -> impl Iterator<Item = &PoolStanding> {
+    pub fn pools(&self) -> impl Iterator<Item = &LocalPool> {
         self.pools.values()
     }
 
-    fn peer_message(&mut self, from: Member, message: ControlMessage, now: Timestamp) {
+    fn handle_peer_message(&mut self, from: Member, message: ControlMessage, now: Timestamp) {
         match message {
             ControlMessage::Configuration(message) => {
                 self.replica.step(ConfigurationInput::Message { from, message }, now);
@@ -231,7 +231,7 @@
     }
 
     fn step_pool(&mut self, pool: &PoolId, input: AuthorityInput, now: Timestamp) {
-        if let Some(control) = self.pools.get_mut(pool).and_then(|standing| standing.control.as_mut()) {
+        if let Some(control) = self.pools.get_mut(pool).and_then(|local_pool| local_pool.control.as_mut()) {
             control.step(input, now);
         }
     }
@@ -240,8 +240,8 @@
     fn follow_up(&mut self, now: Timestamp) {
         self.follow_membership(now);
         self.follow_replica(now);
-        for standing in self.pools.values_mut() {
-            self.actions.extend(standing.take_actions());
+        for local_pool in self.pools.values_mut() {
+            self.actions.extend(local_pool.take_actions());
         }
     }
 
@@ -259,22 +259,22 @@
         if suspended {
             self.replica.step(ConfigurationInput::Suspended, now);
         }
-        self.share_view(now);
+        self.propagate_view(now);
     }
 
-    fn share_standing(&mut self, now: Timestamp) {
+    fn forward_trust(&mut self, now: Timestamp) {
         if self.membership.standing() == Standing::Trusted {
             self.replica.step(ConfigurationInput::Trusted, now);
         }
     }
 
-    fn share_view(&mut self, now: Timestamp) {
+    fn propagate_view(&mut self, now: Timestamp) {
         self.revision += 1;
         let view = live_view(self.membership.view());
         self.replica.step(ConfigurationInput::View(view), now);
-        self.share_standing(now);
-        for standing in self.pools.values_mut() {
-            standing.update_owners(self.membership.view(), now);
+        self.forward_trust(now);
+        for local_pool in self.pools.values_mut() {
+            local_pool.update_owners(self.membership.view(), now);
         }
     }
 
@@ -302,15 +302,15 @@
         self.revision += 1;
         let configuration = Arc::clone(&self.in_force);
         let fleet = Fleet::new(&configuration);
-        let mut former = std::mem::take(&mut self.pools);
+        let mut previous = std::mem::take(&mut self.pools);
         for pool in configuration.pools() {
-            let mut standing = match former.remove(&pool.id) {
-                Some(standing) => standing.regrouped(pool),
-                None => PoolStanding::new(pool),
+            let mut local_pool = match previous.remove(&pool.id) {
+                Some(local_pool) => local_pool.with_pool(pool),
+                None => LocalPool::new(pool),
             };
-            standing.configure(&configuration, &fleet, &self.config.pool, self.membership.me(), &self.zone, now);
-            standing.update_owners(self.membership.view(), now);
-            self.pools.insert(standing.pool.id.clone(), standing);
+            local_pool.configure(&configuration, &fleet, &self.config.pool, self.membership.me(), &self.zone, now);
+            local_pool.update_owners(self.membership.view(), now);
+            self.pools.insert(local_pool.pool.id.clone(), local_pool);
         }
     }
 }
--- a/crates/core/src/control/pools.rs
+++ b/crates/core/src/control/pools.rs
@@ -31,7 +31,7 @@
 }
 
 /// A pool, who may own it, and its control on this node.
-pub struct PoolStanding {
+pub struct LocalPool {
     /// The pool.
     pub pool: Pool,
     /// The nodes that may own it, the owner first.
@@ -45,9 +45,9 @@
     shadow_policies: Vec<PolicyChoice>,
 }
 
-impl PoolStanding {
+impl LocalPool {
     pub(super) fn new(pool: Pool) -> Self {
-        PoolStanding {
+        LocalPool {
             pool,
             owners: Vec::new(),
             control: None,
@@ -96,8 +96,8 @@
     }
 
     /// The same standing with the pool's engines as a new configuration has them.
-    pub(super) fn regrouped(self, pool: Pool) -> Self {
-        PoolStanding { pool, ..self }
+    pub(super) fn with_pool(self, pool: Pool) -> Self {
+        LocalPool { pool, ..self }
     }
 
     pub(super) fn update_owners(&mut self, view: &View, now: Timestamp) {
@@ -167,10 +167,10 @@
     pub(super) fn take_actions(&mut self) -> Vec<ControlAction> {
         let Some(control) = &mut self.control else { return Vec::new() };
         let actions = control.take_ready();
-        actions.into_iter().filter_map(|action| self.address_action(action)).collect()
+        actions.into_iter().filter_map(|action| self.resolve_action(action)).collect()
     }
 
-    fn address_action(&self, action: AuthorityAction) -> Option<ControlAction> {
+    fn resolve_action(&self, action: AuthorityAction) -> Option<ControlAction> {
         let pool = self.pool.id.clone();
         Some(match action {
             AuthorityAction::Store(request) => ControlAction::Store { caller: StoreCaller::Pool(pool), request },
--- a/crates/core/tests/configuration_faults.rs
+++ b/crates/core/tests/configuration_faults.rs
@@ -30,7 +30,7 @@
 }
 
 /// Snapshots and gaps, rare with the default settings, are common here.
-fn running(seed: u64) -> World {
+fn started_world(seed: u64) -> World {
     let config = ReplicaConfig { compact_above: 5, log_maximum: 2, ..ReplicaConfig::default() };
     let mut world = World::with_config(seed, ZONES, NODES_PER_ZONE, NetworkFaults::default(), config);
     world.start_all();
@@ -42,7 +42,7 @@
     world
 }
 
-fn some_faults(u: &mut Unstructured) -> Result<NetworkFaults> {
+fn random_network_faults(u: &mut Unstructured) -> Result<NetworkFaults> {
     Ok(NetworkFaults {
         loss: f64::from(u.int_in_range(0..=20)?) / 100.0,
         doubling: f64::from(u.int_in_range(0..=20)?) / 100.0,
@@ -51,7 +51,7 @@
     })
 }
 
-fn some_store_faults(u: &mut Unstructured) -> Result<StoreFaults> {
+fn random_store_faults(u: &mut Unstructured) -> Result<StoreFaults> {
     Ok(StoreFaults {
         down: u.ratio(1, 4)?,
         reply_loss: f64::from(u.int_in_range(0..=50)?) / 100.0,
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-fn take_step(world: &mut World, u: &mut Unstructured) -> Result<()> {
+fn random_step(world: &mut World, u: &mut Unstructured) -> Result<()> {
     let node = u.choose_index(world.len())?;
     match u.int_in_range(0..=11)? {
         0..=3 => confirm_two(world, u)?,
@@ -85,8 +85,8 @@
         9 => world.cut_zone(node % ZONES),
         10 => world.heal(),
         _ if u.ratio(1, 4)? => world.start_all(),
-        _ if u.ratio(1, 2)? => world.set_faults(some_faults(u)?),
-        _ => world.store.faults = some_store_faults(u)?,
+        _ if u.ratio(1, 2)? => world.set_faults(random_network_faults(u)?),
+        _ => world.store.faults = random_store_faults(u)?,
     }
     world.run(Duration::from_millis(u.int_in_range(0..=1_500)?));
     Ok(())
@@ -138,9 +138,9 @@
 fn guarantees_hold_under_faults() {
     for seed in seeds() {
         arbtest(|u| {
-            let mut world = running(u.arbitrary()?);
+            let mut world = started_world(u.arbitrary()?);
             for _ in 0..STEPS {
-                take_step(&mut world, u)?;
+                random_step(&mut world, u)?;
             }
             recover(&mut world);
             check_confirmations(&world);
@@ -154,7 +154,7 @@
 #[test]
 fn a_restart_of_all_nodes_with_a_store_that_answers_from_the_past_loses_no_accepted_version() {
     for seed in 0..10 {
-        let mut world = running(seed);
+        let mut world = started_world(seed);
         for requests in 10..13 {
             confirm_and_wait(&mut world, requests);
         }
@@ -171,7 +171,7 @@
 #[test]
 fn a_node_is_ready_only_at_the_floor() {
     for floor in [1, 2] {
-        let mut world = running(1);
+        let mut world = started_world(1);
         world.start_all();
         for node in 0..world.len() {
             world.give(node, ConfigurationInput::Floor(ConfigurationVersion(floor)));
@@ -184,7 +184,7 @@
 
 #[test]
 fn a_new_node_gets_the_configuration_from_peers_while_the_store_is_down() {
-    let mut world = running(3);
+    let mut world = started_world(3);
     confirm_and_wait(&mut world, 10);
     world.store.faults.down = true;
     world.start(4);
@@ -197,7 +197,7 @@
 /// While a zone is cut off, a change waits and says for which zone; both sides serve by the old version.
 #[test]
 fn a_change_waits_for_a_zone_that_is_cut_off() {
-    let mut world = running(5);
+    let mut world = started_world(5);
     world.cut_zone(2);
     world.run(Duration::from_secs(5));
     let latest = world.replica(0).and_then(|replica| replica.latest()).expect("a configuration");
@@ -217,7 +217,7 @@
 /// A member that does not answer and is not yet declared dead is named to the operator, whichever node was asked.
 #[test]
 fn a_pending_change_names_the_member_that_holds_it_up() {
-    let mut world = running(6);
+    let mut world = started_world(6);
     let latest = world.replica(7).and_then(|replica| replica.latest()).expect("a configuration");
     world.pause(4);
     world.confirm(&fixture::limit_plan(&latest, 10), 7);
--- a/crates/core/tests/configuration_history.rs
+++ b/crates/core/tests/configuration_history.rs
@@ -76,7 +76,7 @@
     History::from_actions(actions.into_iter().map(|(_, _, action)| action).collect())
 }
 
-fn running(seed: u64) -> World {
+fn started_world(seed: u64) -> World {
     let mut world = World::new(seed, 3, 2, NetworkFaults::default());
     world.start_all();
     world.confirm(&fixture::first_plan(&fixture::configuration(3, 6)), 0);
@@ -135,7 +135,7 @@
 #[test]
 fn confirmations_and_reads_are_linearizable() {
     for seed in 0..SEEDS {
-        let mut world = running(seed);
+        let mut world = started_world(seed);
         world.store.faults = StoreFaults { reply_loss: 0.3, ..StoreFaults::default() };
         confirm_concurrently(&mut world, seed);
         let mut intervals = confirmations(&world);
@@ -148,7 +148,7 @@
 #[test]
 fn confirmations_are_linearizable_although_the_store_answers_from_the_past() {
     for seed in 0..SEEDS {
-        let mut world = running(seed);
+        let mut world = started_world(seed);
         world.store.faults = StoreFaults { reply_loss: 0.3, stale_reads: 0.5, ..StoreFaults::default() };
         confirm_concurrently(&mut world, seed);
         let intervals = confirmations(&world);
@@ -203,7 +203,7 @@
 fn what_each_node_serves_by_is_linearizable_with_accepted_versions() {
     for seed in 0..SEEDS {
         let faults = NetworkFaults { loss: 0.1, delay_maximum: Duration::from_millis(200), ..NetworkFaults::default() };
-        let mut world = running(seed);
+        let mut world = started_world(seed);
         world.set_faults(faults);
         let mut random = Rng::with_seed(seed);
         let mut served: Vec<Vec<Interval<ServedOperation>>> = (0..world.len()).map(|_| Vec::new()).collect();
--- a/crates/core/tests/configuration_spread.rs
+++ b/crates/core/tests/configuration_spread.rs
@@ -10,7 +10,7 @@
 use world::{World, fixture};
 
 /// A world that serves by version 1.
-fn running(seed: u64, zones: usize, nodes_per_zone: usize, engines: usize) -> World {
+fn started_world(seed: u64, zones: usize, nodes_per_zone: usize, engines: usize) -> World {
     let mut world = World::new(seed, zones, nodes_per_zone, NetworkFaults::default());
     world.start_all();
     let end = world.now + Duration::from_secs(10);
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_change_is_in_force_everywhere_within_4_seconds_at_330_nodes() {
-    let mut world = running(7, 11, 30, 60);
+    let mut world = started_world(7, 11, 30, 60);
     let latest = world.replica(0).and_then(|replica| replica.latest()).expect("a configuration");
     let confirmed = world.now;
     world.confirm(&fixture::limit_plan(&latest, 9), 200);
--- a/crates/core/tests/support/configuration_world.rs
+++ b/crates/core/tests/support/configuration_world.rs
@@ -64,14 +64,14 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    StoreTakes { client: Client, token: StoreToken, request: StoreRequest },
-    StoreAnswers { client: Client, token: StoreToken, reply: StoreReply },
+    StoreRequestArrives { client: Client, token: StoreToken, request: StoreRequest },
+    StoreReplyArrives { client: Client, token: StoreToken, reply: StoreReply },
     ViewArrives { node: usize, sequence: u64, view: LiveView },
     RefreshViews,
     PublishViews,
     Suspend { node: usize, isolation: u64 },
     Detect { node: usize, silence: u64 },
-    List { node: usize, life: Member },
+    List { node: usize, identity: Member },
 }
 
 struct Node {
@@ -99,7 +99,7 @@
     pub called: Timestamp,
     /// When it ended, and how.
     pub ended: Option<(Timestamp, StoreEditEnd<ConfirmationOutcome>)>,
-    told: bool,
+    notified: bool,
 }
 
 /// A read of the store's record by an operator.
@@ -144,7 +144,7 @@
     events: BTreeMap<(Timestamp, u64), Event>,
     ticks: BTreeSet<(Timestamp, usize)>,
     sequence: u64,
-    lives: u64,
+    incarnations: u64,
     cut_zones: BTreeSet<ZoneName>,
     unreachable: BTreeSet<ZoneName>,
     contents: BTreeMap<ConfigurationVersion, String>,
@@ -182,7 +182,7 @@
             events: BTreeMap::new(),
             ticks: BTreeSet::new(),
             sequence: 0,
-            lives: 0,
+            incarnations: 0,
             cut_zones: BTreeSet::new(),
             unreachable: BTreeSet::new(),
             contents: BTreeMap::new(),
@@ -210,7 +210,7 @@
             via,
             called: self.now,
             ended: None,
-            told: false,
+            notified: false,
         });
         let operator = self.operators.len() - 1;
         self.drive_operator(operator);
--- a/crates/core/tests/support/world_faults.rs
+++ b/crates/core/tests/support/world_faults.rs
@@ -17,7 +17,7 @@
         node.suspended = true;
         node.highest = None;
         node.highest_held = None;
-        self.schedule(LISTED_AFTER, Event::List { node: index, life: member });
+        self.schedule(LISTED_AFTER, Event::List { node: index, identity: member });
         self.see_nobody_else(index);
     }
 
@@ -110,8 +110,8 @@
     }
 
     pub(super) fn new_life(&mut self, index: usize) -> Member {
-        self.lives += 1;
-        Member { address: fixture::node_address(index), incarnation: Incarnation(self.lives) }
+        self.incarnations += 1;
+        Member { address: fixture::node_address(index), incarnation: Incarnation(self.incarnations) }
     }
 
     pub(super) fn indexes_in(&self, zone: &ZoneName) -> Vec<usize> {
--- a/crates/core/tests/support/world_membership.rs
+++ b/crates/core/tests/support/world_membership.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 impl World {
-    pub(super) fn list(&mut self, index: usize, life: Member) {
+    pub(super) fn list(&mut self, index: usize, identity: Member) {
         let node = &mut self.nodes[index];
-        if node.replica.is_none() || node.paused || node.isolated.is_some() || life < node.member {
+        if node.replica.is_none() || node.paused || node.isolated.is_some() || identity < node.member {
             return;
         }
         node.listed = true;
         node.suspended = false;
-        if node.member != life {
-            node.member = life;
-            self.step(index, ConfigurationInput::Rejoined(life));
+        if node.member != identity {
+            node.member = identity;
+            self.step(index, ConfigurationInput::Rejoined(identity));
         }
         self.step(index, ConfigurationInput::Trusted);
         self.publish_views();
@@ -79,7 +79,7 @@
         if self.nodes[index].listed && !self.nodes[index].suspended {
             return;
         }
-        let life = self.new_life(index);
-        self.schedule(LISTED_AFTER, Event::List { node: index, life });
+        let identity = self.new_life(index);
+        self.schedule(LISTED_AFTER, Event::List { node: index, identity });
     }
 }
--- a/crates/core/tests/support/world_run.rs
+++ b/crates/core/tests/support/world_run.rs
@@ -56,23 +56,23 @@
 
     pub(super) fn happen(&mut self, event: Event) {
         match event {
-            Event::StoreTakes { client, token, request } => {
+            Event::StoreRequestArrives { client, token, request } => {
                 let reply = self.store.handle(request);
                 let latency = self.store.half_latency();
-                self.schedule(latency, Event::StoreAnswers { client, token, reply });
+                self.schedule(latency, Event::StoreReplyArrives { client, token, reply });
             }
-            Event::StoreAnswers { client: Client::Replica(member), token, reply } => {
+            Event::StoreReplyArrives { client: Client::Replica(member), token, reply } => {
                 let owner = self.nodes.iter().position(|node| node.member == member && !node.paused);
                 if let Some(index) = owner {
                     self.step(index, ConfigurationInput::Store { token, reply });
                 }
             }
-            Event::StoreAnswers { client: Client::Operator(operator), token, reply } => {
+            Event::StoreReplyArrives { client: Client::Operator(operator), token, reply } => {
                 let now = self.now;
                 self.operators[operator].confirmation.step(token, reply, now);
                 self.drive_operator(operator);
             }
-            Event::StoreAnswers { client: Client::Reader(read), reply, .. } => {
+            Event::StoreReplyArrives { client: Client::Reader(read), reply, .. } => {
                 if let StoreReply::Object(Some(object)) = reply {
                     let record: ConfigurationRecord = serde_json::from_str(&object.value).expect("a readable record");
                     self.reads[read].ended = Some((self.now, record.latest()));
@@ -106,7 +106,7 @@
                     }
                 }
             }
-            Event::List { node, life } => self.list(node, life),
+            Event::List { node, identity } => self.list(node, identity),
         }
     }
 
@@ -160,7 +160,7 @@
 
     pub(super) fn ask_store(&mut self, client: Client, token: StoreToken, request: StoreRequest) {
         let latency = self.store.half_latency();
-        self.schedule(latency, Event::StoreTakes { client, token, request });
+        self.schedule(latency, Event::StoreRequestArrives { client, token, request });
     }
 
     pub(super) fn note_accepted(&mut self, version: ConfigurationVersion) {
@@ -197,7 +197,7 @@
             return;
         }
         let Some(end) = operator.confirmation.end().cloned() else { return };
-        if std::mem::replace(&mut operator.told, true) {
+        if std::mem::replace(&mut operator.notified, true) {
             return;
         }
         operator.ended = Some((self.now, end.clone()));
--- a/crates/node/src/control/publisher.rs
+++ b/crates/node/src/control/publisher.rs
@@ -5,7 +5,7 @@
 
 use havengate_core::authority::{EngineActivity, PoolActivity, PoolObservation};
 use havengate_core::configuration::Configuration;
-use havengate_core::control::{ControlInput, NodeControl, PoolStanding};
+use havengate_core::control::{ControlInput, LocalPool, NodeControl};
 use havengate_core::membership::{MemberState, Standing};
 use havengate_core::time::Timestamp;
 use havengate_core::world::{EngineName, PoolId};
@@ -84,8 +84,9 @@
         let same = Arc::ptr_eq(&former.configuration, &configuration);
         let directory =
             if same { Arc::clone(&former.directory) } else { Arc::new(CallerDirectory::new(&configuration)) };
-        let routes =
-            control.pools().map(|standing| PoolRoute { pool: standing.pool.clone(), owners: standing.owners.clone() });
+        let routes = control
+            .pools()
+            .map(|local_pool| PoolRoute { pool: local_pool.pool.clone(), owners: local_pool.owners.clone() });
         if !same {
             self.configure_pools(&configuration);
         }
@@ -123,7 +124,7 @@
 
     fn exchange(&self, control: &mut NodeControl, now: Timestamp) {
         let observations: Vec<(PoolId, PoolObservation)> =
-            control.pools().filter_map(|standing| self.exchange_pool(control, standing, now)).collect();
+            control.pools().filter_map(|local_pool| self.exchange_pool(control, local_pool, now)).collect();
         for (pool, observation) in observations {
             control.step(ControlInput::Observation { pool, observation }, now);
         }
@@ -134,30 +135,30 @@
     fn exchange_pool(
         &self,
         control: &NodeControl,
-        standing: &PoolStanding,
+        local_pool: &LocalPool,
         now: Timestamp,
     ) -> Option<(PoolId, PoolObservation)> {
         let me = control.status().me;
-        let pool = &standing.pool.id;
+        let pool = &local_pool.pool.id;
         let runtime = match self.registry.get(pool) {
             Some(runtime) => runtime,
-            None if standing.is_owned_by(me) => self.start_pool(control, standing)?,
+            None if local_pool.is_owned_by(me) => self.start_pool(control, local_pool)?,
             None => return None,
         };
-        let slots = standing.slots(control.configuration(), me, control.zone(), now);
+        let slots = local_pool.slots(control.configuration(), me, control.zone(), now);
         let targets = slots.into_iter().filter_map(|slot| {
-            let address = standing.address(&slot.name)?;
+            let address = local_pool.address(&slot.name)?;
             Some(EngineTarget { slot, address })
         });
         runtime.set_engines(targets.collect(), control.status().trusted_until);
-        if !standing.is_owned_by(me) {
+        if !local_pool.is_owned_by(me) {
             runtime.release();
         }
-        Some((pool.clone(), observe(&runtime, control.configuration(), standing)))
+        Some((pool.clone(), observe(&runtime, control.configuration(), local_pool)))
     }
 
-    fn start_pool(&self, control: &NodeControl, standing: &PoolStanding) -> Option<Arc<PoolRuntime>> {
-        let pool = &standing.pool.id;
+    fn start_pool(&self, control: &NodeControl, local_pool: &LocalPool) -> Option<Arc<PoolRuntime>> {
+        let pool = &local_pool.pool.id;
         match self.factory.start(control.configuration(), pool) {
             Ok(runtime) => {
                 self.registry.insert(pool.clone(), Arc::clone(&runtime));
@@ -171,8 +172,8 @@
     }
 }
 
-fn observe(runtime: &PoolRuntime, configuration: &Configuration, standing: &PoolStanding) -> PoolObservation {
-    let limits = standing.limits(configuration);
+fn observe(runtime: &PoolRuntime, configuration: &Configuration, local_pool: &LocalPool) -> PoolObservation {
+    let limits = local_pool.limits(configuration);
     let activity = |engine: &EngineName| {
         let reported = runtime.reported_work(engine);
         let in_flight = runtime.with_dispatcher(|dispatcher, _| dispatcher.in_flight(engine));
@@ -182,7 +183,7 @@
             reported_at: reported.at,
         }
     };
-    let engines = standing.pool.engines.iter().map(|engine| (engine.clone(), activity(engine))).collect();
+    let engines = local_pool.pool.engines.iter().map(|engine| (engine.clone(), activity(engine))).collect();
     let demand = runtime.with_dispatcher(|dispatcher, now| dispatcher.demand(&limits, now));
     PoolObservation { demand, activity: PoolActivity { engines } }
 }
--- a/crates/node/src/operations/status.rs
+++ b/crates/node/src/operations/status.rs
@@ -7,7 +7,7 @@
 use havengate_core::configuration::{
     Configuration, ConfigurationStatus as ReplicaStatus, ConfigurationVersion, VersionState,
 };
-use havengate_core::control::{NodeControl, PoolStanding};
+use havengate_core::control::{LocalPool, NodeControl};
 use havengate_core::dispatch::EngineAvailability;
 use havengate_core::time::Timestamp;
 use havengate_core::world::{EngineName, Pool, PoolId, ZoneName};
@@ -74,7 +74,7 @@
         },
         configuration: configuration_status(&control.replica().status()),
         members: control.view().records().map(member_of).collect(),
-        pools: control.pools().map(|standing| pool_of(control, standing, context)).collect(),
+        pools: control.pools().map(|local_pool| pool_of(control, local_pool, context)).collect(),
         admission: context.admission.clone(),
     }
 }
@@ -108,14 +108,14 @@
     }
 }
 
-fn pool_of(control: &NodeControl, standing: &PoolStanding, context: &StatusContext) -> PoolStatus {
+fn pool_of(control: &NodeControl, local_pool: &LocalPool, context: &StatusContext) -> PoolStatus {
     let me = control.status().me;
-    let owned = standing.is_owned_by(me);
-    let authority = standing.control.as_ref().map(|control| control.status()).filter(|_| owned);
-    let states = standing.control.as_ref().map(|control| control.engine_states(context.now)).unwrap_or_default();
+    let owned = local_pool.is_owned_by(me);
+    let authority = local_pool.control.as_ref().map(|control| control.status()).filter(|_| owned);
+    let states = local_pool.control.as_ref().map(|control| control.engine_states(context.now)).unwrap_or_default();
     let state_of = |engine: &EngineName| states.iter().filter(|_| owned).find(|status| status.engine == *engine);
-    let work = context.work.get(&standing.pool.id).filter(|_| owned);
-    let slots = standing.slots(control.configuration(), me, control.zone(), context.now);
+    let work = context.work.get(&local_pool.pool.id).filter(|_| owned);
+    let slots = local_pool.slots(control.configuration(), me, control.zone(), context.now);
     let engines = slots.into_iter().map(|slot| EngineStatus {
         zone: zone_of(control, &slot.name),
         role: slot.role,
@@ -127,9 +127,9 @@
         name: slot.name,
     });
     PoolStatus {
-        pool: standing.pool.id.to_string(),
-        model: standing.pool.id.model.clone(),
-        owner: standing.owners.first().map(|owner| owner.address),
+        pool: local_pool.pool.id.to_string(),
+        model: local_pool.pool.id.model.clone(),
+        owner: local_pool.owners.first().map(|owner| owner.address),
         term: authority.as_ref().and_then(|authority| authority.term),
         waiting: work.map(|work| work.waiting),
         engines: engines.collect(),
--- a/crates/rehearsal/src/scale/run.rs
+++ b/crates/rehearsal/src/scale/run.rs
@@ -187,8 +187,8 @@
             let owned: Vec<PoolId> = node
                 .control
                 .pools()
-                .filter(|standing| standing.is_owned_by(killed))
-                .map(|standing| standing.pool.id.clone())
+                .filter(|local_pool| local_pool.is_owned_by(killed))
+                .map(|local_pool| local_pool.pool.id.clone())
                 .collect();
             let began = self.cluster.now;
             self.cluster.kill(address);
@@ -284,8 +284,8 @@
 
 fn has_holder(cluster: &HollowCluster, pool: &PoolId) -> bool {
     cluster.nodes.values().any(|node| {
-        let standing = node.control.pools().find(|standing| standing.pool.id == *pool);
-        let control = standing.and_then(|standing| standing.control.as_ref());
+        let local_pool = node.control.pools().find(|local_pool| local_pool.pool.id == *pool);
+        let control = local_pool.and_then(|local_pool| local_pool.control.as_ref());
         control.is_some_and(|control| control.status().role == AuthorityRole::Holder)
     })
 }
