--- a/crates/core/examples/configuration_scale.rs
+++ b/crates/core/examples/configuration_scale.rs
@@ -1,8 +1,8 @@
-//! How long a change takes to be in force, and what it costs, at 15, 30, 100 and 330 simulated nodes.
+//! Measures the time until a change is in force, and its cost, at 15, 30, 100 and 330 simulated nodes.
 //!
-//! `cargo run --release -p havengate-core --example configuration_scale`. Times are virtual: they depend on the seed and
-//! the model of the network and the store only. Bytes are those of encoded messages, without frames and TCP headers.
-//! The processor's time is that of the whole simulation, an upper bound for the replicas.
+//! `cargo run --release -p havengate-core --example configuration_scale`. Times are virtual: they depend on the seed
+//! and the model of the network and the store only. Bytes are those of encoded messages, without frames and TCP
+//! headers. The processor time is that of the entire simulation, an upper bound for the replicas.
 
 #[path = "../tests/support/configuration_world.rs"]
 mod world;
@@ -17,7 +17,7 @@
 
 const CHANGES: u32 = 40;
 const PAUSE_BETWEEN_CHANGES: Duration = Duration::from_secs(3);
-/// Long enough for a killed node to be declared dead, restarted and ready again.
+/// Sufficient for a killed node to be declared dead, restarted and ready again.
 const RECOVERY_TIME: Duration = Duration::from_secs(12);
 const KILLS: u32 = 6;
 const SPLIT_TIME: Duration = Duration::from_secs(120);
@@ -102,7 +102,7 @@
     println!("              | {busiest:.0} {}", world.now.since(healed).as_millis());
 }
 
-/// How long a change takes to be accepted when `node` is killed at its confirmation. The node comes back later.
+/// Time until a change is accepted when `node` is killed at its confirmation. The node is restarted afterwards.
 fn kill_at_confirmation(world: &mut World, node: usize) -> Duration {
     let via = (node + 1) % world.len();
     let latest = latest(world, via);
@@ -121,7 +121,7 @@
     world.replica(node).and_then(|replica| replica.latest()).expect("a configuration")
 }
 
-/// A world that serves by its first configuration.
+/// Starts a world and waits until its first configuration is accepted.
 fn started_world(deployment: &Deployment, engines: usize) -> World {
     let faults = NetworkFaults {
         delay_minimum: Duration::from_micros(500),
@@ -137,7 +137,7 @@
     world
 }
 
-/// Confirms a change at some node; tells when, and which version it made.
+/// Confirms a change at one node; returns the time of the confirmation and the version that it created.
 fn change(world: &mut World, number: u32) -> (Timestamp, ConfigurationVersion) {
     let node = number as usize * 7 % world.len();
     let latest = latest(world, node);
@@ -159,7 +159,7 @@
     sorted[rank - 1].as_millis()
 }
 
-/// What a stretch of virtual time has cost.
+/// Resources used during a period of virtual time.
 struct Cost {
     virtual_time: Duration,
     messages: u64,
@@ -187,7 +187,7 @@
     }
 }
 
-/// The size of what a new node gets.
+/// The size of the snapshot message that a new node receives.
 fn snapshot_bytes(world: &World) -> usize {
     let latest = latest(world, 0);
     let message = ConfigurationMessage::Snapshot {
--- a/crates/core/src/configuration/acknowledgements.rs
+++ b/crates/core/src/configuration/acknowledgements.rs
@@ -1,8 +1,8 @@
-//! Who holds which version: gathered by a delegate for its zone and by the coordinator for all zones, so that no node
-//! gets a message from each of hundreds of others.
+//! Tracks which member holds which version. A delegate collects acknowledgements for its zone and the coordinator for
+//! all zones, so that no node receives a message from each of hundreds of others.
 //!
-//! A statement about a member or a set of members stays true forever, since versions never go down at a life of a node.
-//! Old, doubled and reordered statements are therefore merged by taking the maximum.
+//! A statement about a member or a set of members never becomes false, since versions never decrease within one
+//! incarnation of a node. Old, duplicated and reordered statements are therefore merged by taking the maximum.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,10 +12,10 @@
 use crate::membership::Member;
 use crate::world::ZoneName;
 
-/// Members named in a statement about a zone; more would only make it longer.
+/// Limits the members listed in a statement about a zone, which keeps the message short.
 const BEHIND_MAXIMUM: usize = 8;
 
-/// What a delegate and a coordinator have been told.
+/// Holdings reported to a delegate by members and to the coordinator by delegates.
 #[derive(Default)]
 pub(super) struct Acknowledgements {
     members: BTreeMap<Member, Holding>,
@@ -23,13 +23,13 @@
 }
 
 impl Acknowledgements {
-    /// Notes what a member holds.
+    /// Records what a member holds.
     pub fn record(&mut self, member: Member, holding: Holding) {
         let known = self.members.entry(member).or_default();
         *known = known.maximum(holding);
     }
 
-    /// Notes what a zone holds.
+    /// Records what a zone holds.
     pub fn record_zone(&mut self, statement: ZoneHolding) {
         let Some(known) = self.zones.get_mut(&statement.zone) else {
             self.zones.insert(statement.zone.clone(), statement);
@@ -40,30 +40,30 @@
         *known = ZoneHolding { minimum, ..statement };
     }
 
-    /// Forgets members that are no longer live.
+    /// Removes members that are no longer live.
     pub fn retain(&mut self, view: &LiveView) {
         let live: BTreeSet<Member> = view.members().iter().map(|live| live.member).collect();
         self.members.retain(|member, _| live.contains(member));
     }
 
-    /// The statement about a zone, from what its members have told; nothing when it has no live members.
+    /// Builds the statement about a zone from its members' reports; `None` when the zone has no live members.
     pub fn zone_statement(&self, view: &LiveView, zone: &ZoneName) -> Option<ZoneHolding> {
         let members = view.digest(zone)?;
         let holdings = || view.in_zone(zone).map(|member| (member, self.holding_of(member)));
         let minimum = holdings().map(|(_, holding)| holding).reduce(Holding::minimum).unwrap_or_default();
-        let maximum = holdings().map(|(_, holding)| holding).reduce(Holding::maximum).unwrap_or_default();
-        let behind = holdings().filter(|(_, holding)| *holding != maximum).map(|(member, _)| member);
+        let highest = holdings().map(|(_, holding)| holding).reduce(Holding::maximum).unwrap_or_default();
+        let behind = holdings().filter(|(_, holding)| *holding != highest).map(|(member, _)| member);
         let behind = behind.take(BEHIND_MAXIMUM).collect();
         Some(ZoneHolding { zone: zone.clone(), members, minimum, behind })
     }
 
-    /// What a member has told that it holds.
+    /// What a member has reported to hold.
     pub fn holding_of(&self, member: Member) -> Holding {
         self.members.get(&member).copied().unwrap_or_default()
     }
 
-    /// What all live members of a zone are known to hold. A statement about another set of members says nothing about
-    /// these; nothing is known of a zone without live members.
+    /// What all live members of a zone are known to hold. A statement about another set of members does not apply, and
+    /// nothing is known about a zone without live members.
     pub fn zone_minimum(&self, view: &LiveView, zone: &ZoneName) -> Holding {
         let members = view.digest(zone);
         let statement = self.zones.get(zone).filter(|statement| Some(statement.members) == members);
@@ -75,7 +75,7 @@
         required.iter().map(|zone| self.zone_minimum(view, zone)).reduce(Holding::minimum).unwrap_or_default()
     }
 
-    /// Members that a zone's delegate has named as behind.
+    /// Members that the zone's delegate has reported as behind.
     pub fn behind(&self, zone: &ZoneName) -> &[Member] {
         self.zones.get(zone).map_or(&[], |statement| &statement.behind)
     }
--- a/crates/core/src/configuration/change.rs
+++ b/crates/core/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! Typed changes between two configurations: what travels between nodes instead of whole configurations.
+//! Typed changes between two configurations. Nodes exchange these instead of full configurations.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
@@ -16,9 +16,9 @@
     Zone(Replacement<Zone>),
     /// The latency between two zones.
     Link(Replacement<Link>),
-    /// A model: its version, its floors or what its engines can do.
+    /// A model: its version, its floors or the performance of its engines.
     Model(Replacement<Model>),
-    /// An engine: its role, its adapter or its place.
+    /// An engine: its role, its adapter or its zone.
     Engine(Replacement<Engine>),
     /// A class of service.
     Contract(Replacement<Contract>),
@@ -30,15 +30,15 @@
     RolePolicy(Replacement<PolicyChoice>),
     /// A role policy that only reports.
     ShadowRolePolicy(Replacement<PolicyChoice>),
-    /// An arm of the placement trial.
+    /// An arm of the placement experiment.
     Arm(Replacement<TrialArm>),
 }
 
 impl Configuration {
-    /// Applies `changes` in their order; items keep their places and new ones go to the end.
+    /// Applies `changes` in order; existing items keep their positions and new ones are appended.
     ///
     /// # Errors
-    /// When an item is not as a change expects it; the configuration is then as before.
+    /// When an item differs from the value that a change expects; the configuration is then unchanged.
     pub fn apply(&mut self, changes: &[Change]) -> Result<(), ChangeError> {
         let mut changed = self.clone();
         for change in changes {
--- a/crates/core/src/configuration/config.rs
+++ b/crates/core/src/configuration/config.rs
@@ -1,45 +1,48 @@
-//! Settings of a replica.
+//! Settings of a configuration replica.
 
 use std::time::Duration;
 
 use displaydoc::Display;
 
-/// Settings of a [`ConfigurationReplica`](super::ConfigurationReplica); the defaults meet 4 s at 330 nodes.
+/// Settings of a [`ConfigurationReplica`](super::ConfigurationReplica); with the defaults a change is in
+/// force everywhere within 4 s at 330 nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaConfig {
-    /// Live members of each region that watch the store. Few, since the store serves few readers; two, so that a dead
-    /// one leaves no gap.
+    /// Live members of each region that poll the store. The number is small because the store serves few readers; it is
+    /// two by default so that polling continues when one of them dies.
     pub watchers_per_region: usize,
     /// How often a watcher reads the store's record.
     pub watch_interval: Duration,
-    /// How long a reply of the store is waited for before the next request is made.
+    /// How long the replica waits for a reply of the store before it makes the next request.
     pub store_timeout: Duration,
-    /// Peers of the own zone to which something new is pushed at once.
+    /// Peers in the local zone to which an update is pushed immediately.
     pub local_fan_out: usize,
-    /// Peers of other zones to which something new is pushed at once.
+    /// Peers in other zones to which an update is pushed immediately.
     pub remote_fan_out: usize,
-    /// How often a digest goes to one random peer; it bounds how long a lost push goes unnoticed.
+    /// How often a digest is sent to one random peer; it bounds how long a lost push remains undetected.
     pub digest_interval: Duration,
-    /// Every how many digests one goes to another zone.
+    /// Every n-th digest is sent to another zone.
     pub remote_digest_every: u32,
-    /// How often acknowledgements and missing changes are sent again while a version is not accepted.
+    /// How often acknowledgements and missing changes are resent while a version is not accepted.
     pub retry_interval: Duration,
-    /// The longest time between two retries: they double while nothing changes, as in a long split.
+    /// The longest time between two retries. The interval doubles while nothing changes, as in a long partition.
     pub retry_interval_maximum: Duration,
-    /// Members to which a delegate or coordinator resends at each retry; bounds the burst after a split.
+    /// Members to which a delegate or coordinator resends at each retry; bounds the burst after a partition.
     pub retry_maximum: usize,
-    /// How long a node that starts, wakes or rejoins waits before it checks that it has missed nothing. It must exceed
-    /// the time in which membership makes the node known to everyone, so that no version is accepted without it.
+    /// How long a node that starts, resumes or rejoins waits before it checks that it has missed no version. It must
+    /// exceed the time that membership needs to announce the node to all nodes, so that no version is accepted without
+    /// it.
     pub settle_time: Duration,
-    /// How long after it has been trusted a coordinator also requires the configured zones of which it knows nothing:
-    /// its view may not be complete yet. It must exceed the time in which membership finds a zone to be unreachable.
+    /// How long after becoming trusted a coordinator also requires the configured zones that its view does not contain,
+    /// since the view may still be incomplete. It must exceed the time that membership needs to detect an unreachable
+    /// zone.
     pub view_complete_after: Duration,
     /// A longer gap between two calls means that this node was paused and may have been declared dead. It must be
-    /// shorter than the time in which membership declares a silent node dead.
+    /// shorter than the time after which membership declares a silent node dead.
     pub pause_maximum: Duration,
-    /// Versions in force whose changes are kept for peers that lag; a peer that lags more gets a snapshot.
+    /// Versions in force whose changes are kept for lagging peers; a peer that lags further behind receives a snapshot.
     pub log_maximum: usize,
-    /// Changes in the store's record, in number of items, above which the coordinator writes a snapshot instead.
+    /// Number of changed items in the store's record above which the coordinator writes a snapshot instead.
     pub compact_above: usize,
 }
 
@@ -80,7 +83,7 @@
     /// Checks the settings.
     ///
     /// # Errors
-    /// When a setting would leave the replica without progress.
+    /// When a setting would keep the replica from making progress.
     pub fn validate(&self) -> Result<(), ReplicaConfigError> {
         let counts = [
             ("watchers_per_region", self.watchers_per_region),
--- a/crates/core/src/configuration/content.rs
+++ b/crates/core/src/configuration/content.rs
@@ -1,4 +1,4 @@
-//! What a configuration holds.
+//! The content of a configuration.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,7 +10,7 @@
     Contract, Engine, EngineName, Link, Model, PolicyName, Pool, PoolLayout, Tenant, Zone, group_into_pools,
 };
 
-/// Counts accepted changes of configuration; a node never goes back to a lower one.
+/// The number of a configuration version; a node never returns to a lower one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
@@ -30,7 +30,7 @@
     }
 }
 
-/// A policy by name, with the parameters that it takes.
+/// A policy by name, with its parameters.
 #[derive(Clone, Debug, PartialEq, Readable, Writable, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyChoice {
@@ -48,7 +48,7 @@
     }
 }
 
-/// One placement policy of a trial, with the share of live traffic that it places.
+/// One placement policy of an experiment, with the share of live traffic that it places.
 #[derive(Clone, Debug, PartialEq, Readable, Writable, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrialArm {
@@ -60,14 +60,14 @@
     pub policy: PolicyChoice,
 }
 
-/// Everything that operators may change, as one value.
+/// All settings of the deployment that operators may change.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
     /// The zones of the deployment.
     #[serde(default, rename = "zone")]
     pub zones: Vec<Zone>,
-    /// Latencies between zones; a missing link counts as none.
+    /// Latencies between zones; a missing link means zero latency.
     #[serde(default, rename = "link")]
     pub links: Vec<Link>,
     /// The models served.
@@ -85,13 +85,13 @@
     /// How engines are grouped into pools.
     #[serde(default)]
     pub pools: PoolLayout,
-    /// The policy that gives engines their roles; none keeps the roles of `engines`.
+    /// The policy that gives engines their roles; without one, engines keep the roles in `engines`.
     #[serde(default)]
     pub role_policy: Option<PolicyChoice>,
     /// Role policies that only report what they would have done.
     #[serde(default)]
     pub shadow_role_policies: Vec<PolicyChoice>,
-    /// The placement policies that share live traffic; empty means `cost` for all of it.
+    /// The placement policies that share live traffic; empty means `cost` for all requests.
     #[serde(default, rename = "arm")]
     pub arms: Vec<TrialArm>,
 }
--- a/crates/core/src/configuration/coordination.rs
+++ b/crates/core/src/configuration/coordination.rs
@@ -1,5 +1,5 @@
-//! The parts of a replica that only a zone's delegate and the coordinator play: gathering acknowledgements, bringing a
-//! staged version into force, and declaring it accepted.
+//! The duties of a zone's delegate and of the coordinator: collecting acknowledgements, bringing a staged version into
+//! force, and declaring it accepted.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +11,13 @@
 use crate::world::ZoneName;
 
 impl ConfigurationReplica {
-    /// Whether this node is the coordinator and may act as such: a node that is not ready may not know all live nodes.
+    /// Whether this node is the coordinator and ready to act as such. A node that is not ready may not know all live
+    /// nodes.
     pub(super) fn is_acting_coordinator(&self) -> bool {
         self.is_ready() && self.view.coordinator() == Some(self.me)
     }
 
-    /// Tells the zone's delegate what this node holds.
+    /// Reports to the zone's delegate what this node holds.
     pub(super) fn acknowledge(&mut self, now: Timestamp) {
         let holding = self.versions.holding();
         self.acknowledgements.record(self.me, holding);
@@ -28,7 +29,7 @@
         }
     }
 
-    /// As the zone's delegate, tells the coordinator what the zone holds, when that is news.
+    /// As the zone's delegate, reports to the coordinator what the zone holds, if that has changed.
     pub(super) fn report_zone(&mut self, now: Timestamp) {
         if self.view.delegate(&self.zone) != Some(self.me) {
             return;
@@ -42,8 +43,8 @@
         self.send_zone_statement(now);
     }
 
-    /// As the coordinator, brings into force what every required node holds, and declares accepted what every required
-    /// node has in force.
+    /// As the coordinator, brings into force the version that every required node holds, and declares accepted the
+    /// version that every required node has in force.
     pub(super) fn coordinate(&mut self, now: Timestamp) {
         if !self.is_acting_coordinator() {
             return;
@@ -64,12 +65,12 @@
         held.filter(|_| held > self.versions.watermarks().in_force)
     }
 
-    /// Whether this node holds a version that it does not know to be accepted.
+    /// Whether this node holds a version that is not known to be accepted.
     pub(super) fn has_unaccepted_version(&self) -> bool {
         self.versions.held() > self.versions.accepted()
     }
 
-    /// Repeats what may have been lost, as long as a version that this node holds is not accepted.
+    /// Resends messages that may have been lost while a version that this node holds is not accepted.
     pub(super) fn retry(&mut self, now: Timestamp) {
         if self.needs_store_proof(now) {
             self.start_store_cycle(now);
@@ -89,8 +90,8 @@
         self.request_missing();
     }
 
-    /// Live members of the zones that hold up a version: those that the delegate has named as behind, or the delegate
-    /// itself when it has named none.
+    /// Live members of the zones that delay a version: those that the delegate has reported as behind, or the delegate
+    /// itself when it has reported none.
     pub(super) fn members_behind(&self) -> Vec<Member> {
         let Watermarks { held, in_force, .. } = self.versions.watermarks();
         let has = |minimum: Holding| if in_force < held { minimum.held >= held } else { minimum.in_force >= held };
@@ -103,7 +104,7 @@
         incomplete.flat_map(of_zone).collect()
     }
 
-    /// Asks who holds up a version that an operator has confirmed at this node and may be waiting for.
+    /// Asks the coordinator which members delay a version that an operator has confirmed at this node.
     fn request_missing(&mut self) {
         if self.confirmed_here <= self.versions.accepted() {
             return;
@@ -114,16 +115,16 @@
         }
     }
 
-    /// The zones without which no version comes into force: those with live members, and the missing ones.
+    /// The zones that must hold a version before it comes into force: those with live members, and the missing ones.
     pub(super) fn required_zones(&self) -> BTreeSet<ZoneName> {
         let mut required: BTreeSet<ZoneName> = self.view.live_zones().cloned().collect();
         required.extend(self.missing_zones());
         required
     }
 
-    /// The required zones without live members: of the zones that the latest version contains those that can't be
-    /// reached, and while the view is new also those of which it tells nothing. Operators give up a lost zone by a change
-    /// that removes it; a zone may well have engines and no nodes.
+    /// The required zones without live members: the zones of the latest version that are unreachable and, while the
+    /// view is new, also those that the view does not contain. Operators give up a lost zone by a change that removes
+    /// it. A zone may have engines but no nodes.
     pub(super) fn missing_zones(&self) -> Vec<ZoneName> {
         let unreachable = self.view.unreachable_zones();
         if unreachable.is_empty() && !self.view_is_new() {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Sends the last change only; a peer that lacks more notices by the watermarks and asks.
+    /// Sends only the last change; a peer that lacks more detects this from the watermarks and sends a digest.
     fn send_latest(&mut self, to: Member) {
         let before_last = self.versions.held().map(|held| ConfigurationVersion(held.0.saturating_sub(1)));
         let changes = self.versions.changes_after(before_last).unwrap_or_default();
--- a/crates/core/src/configuration/item.rs
+++ b/crates/core/src/configuration/item.rs
@@ -1,4 +1,4 @@
-//! Items of a configuration's lists: found by their key, compared and replaced.
+//! Lookup, comparison and replacement of items in a configuration's lists by key.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 use super::replacement::{ChangeError, Replacement};
 use crate::world::{Contract, Engine, Link, Model, Tenant, Zone};
 
-/// Something that stands in a list of the configuration at most once for each key.
+/// An element of a configuration list with a key that is unique in the list.
 pub(super) trait Item: Clone + PartialEq {
-    /// What kind of item this is, in messages to operators.
+    /// The name of this kind of item in messages to operators.
     const KIND: &'static str;
 
     /// The item's key, unique in its list.
     fn key(&self) -> String;
 
-    /// Whether both have the same key. A list of thousands is searched by it, so it makes no text.
+    /// Whether both items have the same key. Does not allocate, since lists of thousands of items are searched with it.
     fn has_same_key(&self, other: &Self) -> bool;
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// What turns the list `old` into `new`, up to the order of items; in the order of keys.
+/// Returns the replacements that turn `old` into `new`, sorted by key. The order of items in the lists is ignored.
 pub(super) fn replacements<T: Item>(old: &[T], new: &[T]) -> impl Iterator<Item = Replacement<T>> {
     let mut by_key: BTreeMap<String, Replacement<T>> = BTreeMap::new();
     for item in old {
@@ -74,7 +74,7 @@
 /// Applies one replacement to a list.
 ///
 /// # Errors
-/// When the list does not hold the old value, or already holds an item that is to be added.
+/// When the list does not contain the old value, or already contains the item to be added.
 pub(super) fn replace_item<T: Item>(items: &mut Vec<T>, replacement: &Replacement<T>) -> Result<(), ChangeError> {
     let target = target_item(replacement).ok_or(ChangeError::Malformed { kind: T::KIND })?;
     let position = items.iter().position(|item| item.has_same_key(target));
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// The item that the replacement is about; `None` when its sides are two different items, or there is none.
+/// The item that the replacement changes; `None` when its two sides have different keys or both are absent.
 fn target_item<T: Item>(replacement: &Replacement<T>) -> Option<&T> {
     match (&replacement.from, &replacement.to) {
         (Some(from), Some(to)) if !from.has_same_key(to) => None,
--- a/crates/core/src/configuration/message.rs
+++ b/crates/core/src/configuration/message.rs
@@ -1,5 +1,5 @@
-//! Messages between the replicas of two nodes. All state facts that never become untrue, so that loss, doubling and
-//! reordering cost time and nothing else.
+//! Messages between the replicas of two nodes. Every message states facts that never become false, so that loss,
+//! duplication and reordering only cause delay.
 
 use speedy::{Readable, Writable};
 
@@ -9,7 +9,7 @@
 use crate::membership::Member;
 use crate::world::ZoneName;
 
-/// How far a node is; an absent version means that it has none yet.
+/// A node's progress; `None` means that the node has no such version yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Watermarks {
     /// The latest version whose changes the node holds.
@@ -27,11 +27,11 @@
     }
 }
 
-/// Pairs a probe with its answer.
+/// Matches an answer to its probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct ProbeId(pub u32);
 
-/// What a node holds, for the delegate of its zone.
+/// What a node holds, as reported to the delegate of its zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Holding {
     /// The latest version whose changes the node holds.
@@ -41,59 +41,59 @@
 }
 
 impl Holding {
-    /// What both have at least, when `other` is another node's.
+    /// What both nodes have at least, when `other` belongs to another node.
     pub fn minimum(self, other: Holding) -> Holding {
         Holding { held: self.held.min(other.held), in_force: self.in_force.min(other.in_force) }
     }
 
-    /// What a node has that has stated both; it never loses anything.
+    /// What a node has after it has reported both; a node never loses a version.
     pub fn maximum(self, other: Holding) -> Holding {
         Holding { held: self.held.max(other.held), in_force: self.in_force.max(other.in_force) }
     }
 }
 
-/// What all live members of a zone hold, for the coordinator.
+/// What all live members of a zone hold, as reported to the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ZoneHolding {
     /// The zone.
     pub zone: ZoneName,
-    /// The set of members that the statement is about.
+    /// The set of members that the statement covers.
     pub members: MembersDigest,
-    /// What each of them holds at least.
+    /// What each of these members holds at least.
     pub minimum: Holding,
-    /// Members that hold less than the delegate, a few of them.
+    /// A few of the members that are behind the most advanced member of the zone.
     pub behind: Vec<Member>,
 }
 
 /// A message from one node's replica to another's.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum ConfigurationMessage {
-    /// How far the sender is. Whoever is ahead sends what the other lacks.
+    /// The sender's progress. The node that is ahead sends the other what it lacks.
     Digest {
-        /// How far the sender is.
+        /// The sender's progress.
         watermarks: Watermarks,
         /// Asks for a [`ConfigurationMessage::Answer`].
         probe: Option<ProbeId>,
     },
     /// The answer to a probe.
     Answer {
-        /// How far the sender is.
+        /// The sender's progress.
         watermarks: Watermarks,
-        /// The probe that is answered.
+        /// The probe that this answers.
         probe: ProbeId,
-        /// Whether the sender vouches that no higher version was accepted: see `ConfigurationReplica::is_ready`.
+        /// Whether the sender confirms that no higher version was accepted; see `ConfigurationReplica::is_ready`.
         ready: bool,
     },
-    /// Changes that the receiver may lack, without gaps, and how far the sender is.
+    /// Consecutive changes that the receiver may lack, and the sender's progress.
     Update {
-        /// How far the sender is.
+        /// The sender's progress.
         watermarks: Watermarks,
         /// The changes.
         changes: Vec<VersionChange>,
     },
-    /// A whole configuration, for a receiver that has none or whose gap is too wide for changes.
+    /// A full configuration, for a receiver that has none or that lacks changes which the sender no longer keeps.
     Snapshot {
-        /// How far the sender is.
+        /// The sender's progress.
         watermarks: Watermarks,
         /// The version of the configuration.
         version: ConfigurationVersion,
@@ -106,8 +106,8 @@
     Holding(Holding),
     /// What a zone holds, from its delegate to the coordinator.
     ZoneHolding(ZoneHolding),
-    /// Asks the coordinator which members hold up the versions that are pending.
+    /// Asks the coordinator which members delay the pending versions.
     RequestMissing,
-    /// The coordinator's answer: live members that lack a pending version, a few of each zone.
+    /// The coordinator's answer: a few live members of each zone that lack a pending version.
     Missing(Vec<Member>),
 }
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration of the deployment: what it holds, and how a version comes into force everywhere.
+//! The configuration of the deployment: its content, and how a version comes into force at every node.
 //!
-//! A version is *staged* by a compare-and-set in the platform's store, spreads between the nodes, and is brought into
-//! force once every live node holds it. It is *accepted* once every live node has it in force. See
+//! A version is *staged* by a compare-and-set in the platform's store, is disseminated between the nodes, and is
+//! brought into force once every live node holds it. It is *accepted* once every live node has it in force. See
 //! `docs/adr/0004-configuration.md`.
 
 mod acknowledgements;
--- a/crates/core/src/configuration/record.rs
+++ b/crates/core/src/configuration/record.rs
@@ -1,8 +1,8 @@
-//! The configuration as the platform's store keeps it: a small record that every write replaces by compare-and-set, and
-//! now and then a snapshot of the whole.
+//! The configuration as kept in the platform's store: a small record that every write replaces by compare-and-set, and
+//! an occasional snapshot of the full configuration.
 //!
-//! Everything in a record is a decided fact that never becomes untrue: which changes make a version, and that a version
-//! is in force. A record read from the past is therefore harmless: it only tells less.
+//! A record contains only decided facts that never become false: which changes make a version, and that a version is in
+//! force. A stale read of the record is therefore harmless: it only contains fewer facts.
 
 use std::fmt;
 
@@ -17,13 +17,13 @@
 /// The name of the record's object in the store.
 pub const CONFIGURATION_KEY: &str = "configuration";
 
-/// The most versions that may wait to come into force; a longer list would make the record large for its readers.
+/// The most versions that may wait to come into force; limits the size of the record that readers fetch.
 pub const STAGED_MAXIMUM: usize = 32;
 
-/// How many confirmed plans a record remembers, so that a repeated confirmation finds its own success.
+/// How many confirmed plans a record keeps, so that a repeated confirmation finds that the first one succeeded.
 pub const CONFIRMED_MAXIMUM: usize = 128;
 
-/// Identifies a plan: the hash of its base version and its changes, so that equal plans are one plan.
+/// Identifies a plan by the hash of its base version and its changes, so that equal plans have the same identifier.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
@@ -36,18 +36,18 @@
     }
 }
 
-/// The changes that make one version out of the one before it.
+/// The changes that turn the previous version into this one.
 #[derive(Clone, Debug, PartialEq, Readable, Writable, Serialize, Deserialize)]
 pub struct VersionChange {
-    /// The version that the changes make.
+    /// The version that results from the changes.
     pub version: ConfigurationVersion,
     /// The plan that was confirmed.
     pub plan: PlanId,
-    /// The changes against the version before.
+    /// The changes relative to the previous version.
     pub changes: Vec<Change>,
 }
 
-/// A plan that was confirmed, and the version that it made.
+/// A confirmed plan and the version that it created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmedPlan {
     /// The version.
@@ -56,30 +56,30 @@
     pub plan: PlanId,
 }
 
-/// A whole configuration of a version that is in force.
+/// The full configuration of a version that is in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationSnapshot {
     /// The version.
     pub version: ConfigurationVersion,
-    /// What the version holds.
+    /// The configuration of this version.
     pub configuration: Configuration,
 }
 
-/// The record in the store; absent means version 0 in force, which is empty.
+/// The record in the store; without one, the empty version 0 is in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationRecord {
     /// The highest version that may be in force at nodes; no node puts a version in force before it is recorded here.
     pub in_force: ConfigurationVersion,
-    /// The version that the snapshot object holds at least; version 0 needs none. The object may already hold a later
-    /// one, which `log` continues as well, when its writer has not yet come to write this record.
+    /// The lowest version that the snapshot object can contain; version 0 needs no snapshot. The object may already
+    /// contain a later version, which `log` also continues, when its writer has not written this record yet.
     pub snapshot: ConfigurationVersion,
     /// The versions after the snapshot, without gaps; those after `in_force` are staged.
     pub log: Vec<VersionChange>,
-    /// The plans of the last versions, in their order.
+    /// The plans of the most recent versions, in version order.
     pub confirmed: Vec<ConfirmedPlan>,
 }
 
-/// Why a plan can't be staged; nothing has happened.
+/// The reason why a plan can't be staged. The record is unchanged.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, thiserror::Error)]
 pub enum StageError {
     /// the base version is no longer the latest, which is {latest}
@@ -87,9 +87,9 @@
         /// The latest version.
         latest: ConfigurationVersion,
     },
-    /// {maximum} versions are waiting to come into force already
+    /// {maximum} versions are already waiting to come into force
     TooManyPending {
-        /// The most that may wait.
+        /// The maximum number of waiting versions.
         maximum: usize,
     },
 }
@@ -126,12 +126,12 @@
         Ok(staged)
     }
 
-    /// The record with `version` in force; never lower than before and never beyond the latest.
+    /// The record with `version` in force, clamped between the version in force and the latest version.
     pub fn activate(&self, version: ConfigurationVersion) -> ConfigurationRecord {
         ConfigurationRecord { in_force: version.min(self.latest()).max(self.in_force), ..self.clone() }
     }
 
-    /// The record without the changes that a snapshot of `version`, just written, makes needless.
+    /// The record without the changes contained in a new snapshot of `version`.
     pub fn compact(&self, version: ConfigurationVersion) -> ConfigurationRecord {
         let mut compacted = self.clone();
         compacted.log.retain(|change| change.version > version);
@@ -139,23 +139,23 @@
         compacted
     }
 
-    /// The version that `plan` made, as far as the record remembers.
+    /// The version that `plan` created, if the record still lists it.
     pub fn version_of(&self, plan: PlanId) -> Option<ConfigurationVersion> {
         self.confirmed.iter().find(|confirmed| confirmed.plan == plan).map(|confirmed| confirmed.version)
     }
 
-    /// Whether the record remembers which plan made the version after `base`.
+    /// Whether the record still lists the plan that created the version after `base`.
     pub fn remembers_successor_of(&self, base: ConfigurationVersion) -> bool {
         self.confirmed.first().is_some_and(|oldest| oldest.version <= base.next())
     }
 }
 
-/// The record's object in the store.
+/// The key of the record's object in the store.
 pub fn configuration_key() -> ObjectKey {
     ObjectKey(CONFIGURATION_KEY.to_owned())
 }
 
-/// The snapshot's object in the store.
+/// The key of the snapshot's object in the store.
 pub(super) fn snapshot_key() -> ObjectKey {
     ObjectKey(format!("{CONFIGURATION_KEY}-snapshot"))
 }
--- a/crates/core/src/configuration/replacement.rs
+++ b/crates/core/src/configuration/replacement.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
-/// The value of one item before and after a change; an absent side means that the item is added or removed.
+/// The value of one item before and after a change; `None` on one side means that the item is added or
+/// removed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Replacement<T> {
     /// The value that the change replaces.
@@ -28,19 +29,19 @@
     }
 }
 
-/// Why a change can't be applied: it was made for another configuration. Nothing has been changed.
+/// The reason why a change can't be applied to this configuration. The configuration is unchanged.
 #[derive(Clone, Debug, Display, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// {kind} `{name}` is not as the change expects it
+    /// {kind} `{name}` does not have the value that the change expects
     OtherValue {
-        /// What kind of item.
+        /// The kind of item.
         kind: &'static str,
         /// The item's name.
         name: String,
     },
-    /// a change of a {kind} has neither an old nor a new value, or two that name different items
+    /// a change of a {kind} has neither an old nor a new value, or its old and new value name different items
     Malformed {
-        /// What kind of item.
+        /// The kind of item.
         kind: &'static str,
     },
 }
--- a/crates/core/src/configuration/replica.rs
+++ b/crates/core/src/configuration/replica.rs
@@ -18,41 +18,41 @@
 use crate::time::Timestamp;
 use crate::world::ZoneName;
 
-/// A gap of so many retry intervals is no mere delay of a timer.
+/// A longer gap between calls, in retry intervals, is treated as a pause rather than as timer jitter.
 const PAUSE_IN_RETRY_INTERVALS: u32 = 2;
 
-/// What a replica is told.
+/// Inputs of a replica.
 #[derive(Clone, Debug)]
 pub enum ConfigurationInput {
     /// The live view has changed.
     View(LiveView),
-    /// A message has come from a peer.
+    /// A message from a peer has been received.
     Message {
-        /// The peer's present life.
+        /// The peer's current incarnation.
         from: Member,
-        /// What it says.
+        /// The message.
         message: ConfigurationMessage,
     },
-    /// The store has answered a [`ConfigurationAction::Store`]; also given when it can't be reached.
+    /// The store's reply to a [`ConfigurationAction::Store`]; also sent when the store is unreachable.
     Store {
-        /// The request that is answered.
+        /// The token of the request.
         token: StoreToken,
-        /// The answer.
+        /// The reply.
         reply: StoreReply,
     },
     /// The node has read or written the store's record itself, for example to confirm a plan.
     Recorded(ConfigurationRecord),
-    /// Engines or peers are known to have seen this version: a node that starts must not serve with a lower one.
+    /// Engines or peers have observed this version: a node that starts must not serve with a lower one.
     Floor(ConfigurationVersion),
-    /// Membership counts this node as live, as it must before the node does anything: a replica starts suspended.
+    /// Membership regards this node as live. A replica starts suspended and does nothing before this input.
     Trusted,
-    /// The node can't tell whether its peers still count on it.
+    /// The node can't determine whether its peers still regard it as live.
     Suspended,
-    /// The node has a new life after a suspension, and is not trusted yet.
+    /// The node has a new incarnation after a suspension, and is not trusted yet.
     Rejoined(Member),
 }
 
-/// What a replica wants done.
+/// Actions that a replica requests.
 #[derive(Clone, Debug)]
 pub enum ConfigurationAction {
     /// Send a message to a peer.
@@ -62,23 +62,23 @@
         /// What to send.
         message: ConfigurationMessage,
     },
-    /// Ask the store; the reply comes back as [`ConfigurationInput::Store`] with the same token.
+    /// Send a request to the store; the reply is passed in as [`ConfigurationInput::Store`] with the same token.
     Store {
-        /// Pairs the reply with the request.
+        /// Matches the reply to the request.
         token: StoreToken,
         /// The request.
         request: StoreRequest,
     },
-    /// A higher version is in force at this node from now on.
+    /// A higher version is now in force at this node.
     Adopt(VersionedConfiguration),
     /// A version is known to be in force at every live node.
     Accepted(ConfigurationVersion),
 }
 
-/// Holds the versions of one node, learns new ones and helps to spread them.
+/// Holds the versions of one node, learns new ones and disseminates them.
 ///
-/// A pure state machine: [`step`](Self::step) takes in an event, [`tick`](Self::tick) the time, and
-/// [`take_ready`](Self::take_ready) hands out what to do.
+/// A pure state machine: [`step`](Self::step) applies an input, [`tick`](Self::tick) advances the time, and
+/// [`take_ready`](Self::take_ready) returns the actions to perform.
 pub struct ConfigurationReplica {
     pub(super) config: ReplicaConfig,
     pub(super) me: Member,
@@ -103,7 +103,7 @@
 }
 
 impl ConfigurationReplica {
-    /// A replica that holds nothing yet. `seed` makes its random choices repeatable.
+    /// Creates a replica without any version. `seed` makes its random choices reproducible.
     ///
     /// # Errors
     /// When a setting is out of range.
@@ -133,35 +133,36 @@
         })
     }
 
-    /// The configuration to serve by. It is absent until the node has once been ready, and never goes down.
+    /// The configuration that the node serves with. It is `None` until the node has been ready once, and its version
+    /// never decreases.
     pub fn in_force(&self) -> Option<&VersionedConfiguration> {
         self.in_force.as_ref()
     }
 
-    /// The configuration with all staged changes: what the next plan is made against.
+    /// The configuration with all staged changes, which is the base of the next plan.
     pub fn latest(&self) -> Option<VersionedConfiguration> {
         self.versions.latest()
     }
 
-    /// Whether no version higher than [`in_force`](Self::in_force) has been accepted without this node: only then may
-    /// the node take work. True as of the last call; see [`ready_until`](Self::ready_until) for other threads.
+    /// Whether no version higher than [`in_force`](Self::in_force) has been accepted without this node; only then may
+    /// the node accept work. Valid as of the last call; other threads use [`ready_until`](Self::ready_until).
     pub fn is_ready(&self) -> bool {
         self.synchronization.is_ready()
     }
 
-    /// Until when the node may take work without a further call, as a lease: a process that was paused must not serve
-    /// by an old version in the moment between waking and noticing. Nothing when the node is not ready.
+    /// Until when the node may accept work without a further call, as a lease: a process that was paused must not serve
+    /// with an old version between resuming and detecting the pause. `None` when the node is not ready.
     pub fn ready_until(&self) -> Option<Timestamp> {
         let last_call = self.last_call.filter(|_| self.is_ready())?;
         Some(last_call + self.config.pause_maximum)
     }
 
-    /// How far the node is.
+    /// The node's progress.
     pub fn watermarks(&self) -> Watermarks {
         self.versions.watermarks()
     }
 
-    /// Takes in an event.
+    /// Applies an input.
     pub fn step(&mut self, input: ConfigurationInput, now: Timestamp) {
         self.detect_pause(now);
         let before = self.versions.progress();
@@ -169,7 +170,7 @@
         self.follow_up(before, sender, now);
     }
 
-    /// Does what is due at `now`.
+    /// Performs the work that is due at `now`.
     pub fn tick(&mut self, now: Timestamp) {
         self.detect_pause(now);
         let before = self.versions.progress();
@@ -187,13 +188,13 @@
         self.follow_up(before, None, now);
     }
 
-    /// When [`tick`](Self::tick) has something to do again.
+    /// When [`tick`](Self::tick) has to be called next.
     pub fn next_tick(&self) -> Timestamp {
         let timers = [Some(self.next_digest), Some(self.next_retry), self.next_store_tick()];
         timers.into_iter().flatten().min().unwrap_or(self.next_digest)
     }
 
-    /// What is to be done, in this order.
+    /// Takes the pending actions, to be performed in this order.
     pub fn take_ready(&mut self) -> Vec<ConfigurationAction> {
         std::mem::take(&mut self.actions)
     }
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Whether the view may still lack a whole zone.
+    /// Whether the view may still lack an entire zone.
     pub(super) fn view_is_new(&self) -> bool {
         self.last_call.is_none_or(|last_call| last_call < self.view_complete_at)
     }
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Does what follows from a change of the versions held since `before`.
+    /// Acknowledges, adopts and disseminates what has changed since `before`.
     fn follow_up(&mut self, before: Progress, source: Option<Member>, now: Timestamp) {
         if self.versions.holding() != before.holding {
             self.versions.trim(self.config.log_maximum);
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Puts the content in force, once the node is or has been ready.
+    /// Puts the content in force if the node is ready or has been ready before.
     fn adopt(&mut self) {
         self.synchronization.update(self.versions.version(), self.floor);
         let may_adopt = self.synchronization.is_ready() || self.in_force.is_some();
@@ -288,13 +289,13 @@
         }
     }
 
-    /// Retries begin anew: what has changed may be lost on its way to others.
+    /// Resets the retry backoff, since messages about the latest change may be lost.
     fn retry_soon(&mut self, now: Timestamp) {
         self.retries = 0;
         self.next_retry = self.next_retry.min(now + self.config.retry_interval);
     }
 
-    /// The time until the next retry doubles up to a maximum, so that a long split costs little.
+    /// The time until the next retry. It doubles up to a maximum, which limits the traffic during a long partition.
     fn retry_interval(&self) -> Duration {
         if !self.has_unaccepted_version() || !self.is_ready() {
             return self.config.retry_interval;
--- a/crates/core/src/configuration/spread.rs
+++ b/crates/core/src/configuration/spread.rs
@@ -1,4 +1,5 @@
-//! How news travels between peers: pushed at once to a few random ones, and repaired by digests.
+//! Dissemination of updates between peers: an update is pushed immediately to a few random peers, and digests repair
+//! what was lost.
 
 use super::message::{ConfigurationMessage, ProbeId, Watermarks};
 use super::record::VersionChange;
@@ -7,7 +8,7 @@
 use crate::time::Timestamp;
 
 impl ConfigurationReplica {
-    /// Takes in a message from a peer.
+    /// Handles a message from a peer.
     pub(super) fn receive(&mut self, from: Member, message: ConfigurationMessage, now: Timestamp) {
         match message {
             ConfigurationMessage::Digest { watermarks, probe } => self.compare(from, watermarks, probe),
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Sends a digest to one random peer. While the node is not ready it asks for an answer, and asks its superior too,
-    /// so that after a start of all nodes readiness comes down from the coordinator in two steps.
+    /// Sends a digest to one random peer. While the node is not ready the digest requests an answer and is also sent to
+    /// the node's superior, so that after a start of all nodes readiness propagates from the coordinator in two steps.
     pub(super) fn send_digest(&mut self, now: Timestamp) {
         self.digests_sent = self.digests_sent.wrapping_add(1);
         let remote = self.digests_sent.is_multiple_of(self.config.remote_digest_every);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Pushes what has been learnt since `before` to a few random peers, but not to the one that told it.
+    /// Pushes the changes received since `before` to a few random peers other than `source`, which sent them.
     pub(super) fn push_updates(&mut self, before: Watermarks, source: Option<Member>) {
         if let Some(accepted) = self.versions.accepted()
             && self.versions.accepted() > before.accepted
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Sends a peer what it lacks when it holds `held`: changes, or a snapshot when they don't suffice.
+    /// Sends a peer that holds `held` what it lacks: changes, or a snapshot when the kept changes don't suffice.
     pub(super) fn send_missing(&mut self, to: Member, held: Option<super::ConfigurationVersion>) {
         if let Some(changes) = self.versions.changes_after(held) {
             self.send_update(to, changes);
@@ -122,13 +123,13 @@
         self.versions.raise_accepted(watermarks.accepted);
     }
 
-    /// The zone's delegate, or for the delegate the coordinator.
+    /// The zone's delegate or, for the delegate itself, the coordinator.
     fn superior(&self) -> Option<Member> {
         let superiors = [self.view.delegate(&self.zone), self.view.coordinator()];
         superiors.into_iter().flatten().find(|superior| *superior != self.me)
     }
 
-    /// Random live peers, of the own zone or of the others.
+    /// Random live peers in other zones when `remote` is set, otherwise in the local zone.
     fn random_peers(&mut self, remote: bool, amount: usize) -> Vec<Member> {
         let is_candidate = |live: &&super::LiveMember| (live.zone != self.zone) == remote && live.member != self.me;
         let peers = self.view.members().iter().filter(is_candidate).map(|live| live.member);
--- a/crates/core/src/configuration/status.rs
+++ b/crates/core/src/configuration/status.rs
@@ -1,4 +1,4 @@
-//! What an operator is told about the versions that are not in force everywhere yet.
+//! Status for operators of the versions that are not in force everywhere yet.
 
 use serde::Serialize;
 
@@ -8,11 +8,11 @@
 use crate::membership::Member;
 use crate::world::ZoneName;
 
-/// How far a version is.
+/// The state of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionState {
-    /// Confirmed and recorded, but not yet held by every required node; it will come into force and can't be withdrawn.
+    /// Confirmed and recorded, but not yet held by every required node. It will come into force and can't be withdrawn.
     Staged,
     /// Recorded as in force; some live nodes may not have applied it yet.
     Activating,
@@ -25,34 +25,34 @@
 pub struct PendingVersion {
     /// The version.
     pub version: ConfigurationVersion,
-    /// The plan that made it.
+    /// The plan that created it.
     pub plan: PlanId,
-    /// How far it is.
+    /// Its state.
     pub state: VersionState,
 }
 
-/// The configuration as one node sees it.
+/// The status of the configuration in the local view of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigurationStatus {
-    /// The version that this node serves by.
+    /// The version that this node serves with.
     pub in_force: Option<ConfigurationVersion>,
     /// The highest version known to be in force at every live node.
     pub accepted: Option<ConfigurationVersion>,
     /// Versions that are not accepted yet, lowest first.
     pub pending: Vec<PendingVersion>,
-    /// Required zones that can't be reached; they hold up all pending versions.
+    /// Required zones without live members; they delay all pending versions.
     pub missing_zones: Vec<ZoneName>,
-    /// Live members that are known to lack a pending version, a few of each zone. Known to the coordinator and, a moment
-    /// later, to the node at which the version was confirmed.
+    /// A few live members of each zone that are known to lack a pending version. The coordinator knows them first, and
+    /// the node at which the version was confirmed learns them from it.
     pub missing_members: Vec<Member>,
     /// The node that brings versions into force.
     pub coordinator: Option<Member>,
-    /// Whether this node has made sure that it has missed no accepted version.
+    /// Whether this node has verified that it has missed no accepted version.
     pub ready: bool,
 }
 
 impl ConfigurationReplica {
-    /// What this node can tell an operator.
+    /// The status that this node reports to operators.
     pub fn status(&self) -> ConfigurationStatus {
         let watermarks = self.watermarks();
         let pending = self.versions.pending().map(|change| PendingVersion {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// How far `version` is, as this node knows.
+    /// The state of `version` in this node's local view.
     pub fn state_of(&self, version: ConfigurationVersion) -> VersionState {
         let watermarks = self.watermarks();
         if Some(version) <= watermarks.accepted {
--- a/crates/core/src/configuration/store_client.rs
+++ b/crates/core/src/configuration/store_client.rs
@@ -1,7 +1,7 @@
-//! What a replica reads from and writes to the platform's store: one request at a time.
+//! A replica's reads from and writes to the platform's store, one request at a time.
 //!
-//! Every cycle starts with a read of the record. What follows depends on what the replica lacks or has to decide. A
-//! lost reply ends the cycle, and the next one settles it by reading back.
+//! Every cycle starts with a read of the record. The next step depends on what the replica lacks or has to decide. A
+//! lost reply ends the cycle, and the next cycle resolves the outcome by reading the record again.
 
 use super::content::Configuration;
 use super::record::{ConfigurationRecord, ConfigurationSnapshot, configuration_key, snapshot_key};
@@ -10,14 +10,14 @@
 use crate::time::Timestamp;
 use crate::world::{RegionName, ZoneName};
 
-/// Pairs a reply of the store with its request.
+/// Matches a reply of the store to its request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoreToken(pub u64);
 
-/// Probes of peers that go unanswered before the store is asked for proof.
+/// Unanswered probes of peers before the replica proves through the store that it has the latest version.
 const PROBES_BEFORE_STORE_PROOF: u32 = 2;
 
-/// The replica's side of the conversation.
+/// State of the replica's requests to the store.
 #[derive(Default)]
 pub(super) struct StoreClient {
     token: StoreToken,
@@ -31,11 +31,11 @@
     purpose: Purpose,
 }
 
-/// What a request is for, with what the next step of the cycle needs.
+/// The purpose of a request, with the data for the next step of the cycle.
 enum Purpose {
     ReadRecord,
     LoadSnapshot(ConfigurationRecord),
-    /// Writes the record; also unchanged, to prove that it is the latest.
+    /// Writes the record; an unchanged record is written to prove that it is the latest.
     WriteRecord(ConfigurationRecord),
     ReadOldSnapshot(KnownRecord),
     WriteSnapshot(KnownRecord),
@@ -48,19 +48,19 @@
 }
 
 impl ConfigurationReplica {
-    /// Gives peers the time of one interval to answer before the store is read for the first time.
+    /// Schedules the first read of the store after one interval, which gives peers time to answer before it.
     pub(super) fn start_watching(&mut self, now: Timestamp) {
         self.store.next_watch = now + self.config.watch_interval;
     }
 
-    /// Starts a cycle now, unless one is going on: it then decides the same.
+    /// Starts a cycle unless one is in progress, which would reach the same decision.
     pub(super) fn start_store_cycle(&mut self, now: Timestamp) {
         if self.store.outstanding.is_none() {
             self.begin_cycle(now);
         }
     }
 
-    /// Reads the record when it is time to.
+    /// Reads the record when the watch interval has elapsed.
     pub(super) fn watch_store(&mut self, now: Timestamp) {
         let timeout = self.config.store_timeout;
         if self.store.outstanding.as_ref().is_some_and(|outstanding| now.since(outstanding.since) >= timeout) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// When [`watch_store`](Self::watch_store) has something to do again.
+    /// When [`watch_store`](Self::watch_store) has to be called next.
     pub(super) fn next_store_tick(&self) -> Option<Timestamp> {
         match &self.store.outstanding {
             Some(outstanding) => Some(outstanding.since + self.config.store_timeout),
@@ -79,12 +79,13 @@
         }
     }
 
-    /// Drops the reply that is outstanding: a proof that was begun before a check started again proves nothing for it.
+    /// Ignores the outstanding reply: a proof that was started before the check restarted is not valid for the new
+    /// check.
     pub(super) fn discard_outstanding(&mut self) {
         self.store.outstanding = None;
     }
 
-    /// Takes in facts that the store has recorded.
+    /// Applies facts that the store has recorded.
     pub(super) fn observe(&mut self, record: &ConfigurationRecord) {
         if self.versions.content().is_none() && record.snapshot.0 == 0 {
             self.versions.load(record.snapshot, Configuration::default());
@@ -93,7 +94,7 @@
         self.versions.raise_recorded(Some(record.in_force));
     }
 
-    /// Takes in a reply of the store.
+    /// Handles a reply of the store.
     pub(super) fn store_replied(&mut self, token: StoreToken, reply: StoreReply, now: Timestamp) {
         if token != self.store.token {
             return;
@@ -131,7 +132,8 @@
         }
     }
 
-    /// A write took effect, so what was written is the latest record: nothing higher can have been accepted before.
+    /// A successful write proves that the written record is the latest: no higher version can have been accepted
+    /// before.
     fn record_written(&mut self, record: &ConfigurationRecord, now: Timestamp) {
         self.observe(record);
         if !self.is_ready() {
@@ -152,8 +154,8 @@
         self.ask(StoreRequest::Read { key: snapshot_key() }, Purpose::LoadSnapshot(record), now);
     }
 
-    /// A snapshot may be newer or, read from the past, older than the record that led to it. It tells the truth all the
-    /// same, since only versions in force are written; a gap that remains is filled by the next cycle.
+    /// A snapshot may be newer or, after a stale read, older than the record that referred to it. It is valid in both
+    /// cases, since only versions in force are written; the next cycle fills a remaining gap.
     fn snapshot_read(&mut self, record: &ConfigurationRecord, object: &StoredObject) {
         let Ok(snapshot) = serde_json::from_str::<ConfigurationSnapshot>(&object.value) else { return };
         self.versions.load(snapshot.version, snapshot.configuration);
@@ -201,7 +203,8 @@
         OperationId(self.random.u64(..))
     }
 
-    /// Whether no peer has vouched for this node in good time, so that the store has to: the coordinator asks for all.
+    /// Whether the coordinator must prove through the store that it has the latest version, because no ready peer has
+    /// answered in time. Other nodes rely on the coordinator.
     pub(super) fn needs_store_proof(&self, now: Timestamp) -> bool {
         let patience = self.config.retry_interval * PROBES_BEFORE_STORE_PROOF;
         let unanswered = !self.is_ready() && self.synchronization.is_settled(now - patience);
@@ -222,7 +225,7 @@
         self.store.watcher && self.synchronization.is_trusted()
     }
 
-    /// Makes this node a watcher when it is one of the lowest-ranked live ones of its region.
+    /// Makes this node a watcher when it is one of the lowest-ranked live members of its region.
     pub(super) fn choose_watchers(&mut self) {
         let region = self.region_of(&self.zone);
         let same_region = self.view.members().iter().filter(|live| self.region_of(&live.zone) == region);
@@ -236,7 +239,7 @@
 }
 
 impl KnownRecord {
-    /// The record of an object; one that doesn't exist stands for the empty version 0. Nothing when it can't be read.
+    /// Parses the record of an object; a missing object means the empty version 0. `None` when it can't be parsed.
     fn parse(object: Option<StoredObject>) -> Option<KnownRecord> {
         let Some(object) = object else {
             return Some(KnownRecord { revision: Revision::default(), record: ConfigurationRecord::default() });
--- a/crates/core/src/configuration/validate.rs
+++ b/crates/core/src/configuration/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole configuration, before it is proposed to anyone.
+//! Validation of a full configuration before it is proposed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,28 +10,28 @@
 use crate::policy::{PolicyError, placement_policy, role_policy};
 use crate::world::{Contract, Engine, EnginePerformance, Link, Model, ModelName, Tenant};
 
-/// What is wrong with a configuration or an intent: the key, its value and what is allowed.
+/// An error in a configuration or an intent, with the key, its value and the allowed values.
 #[derive(Clone, Debug, Display, PartialEq, thiserror::Error)]
 pub enum ConfigurationError {
     /// {key} is `{value}`; allowed: a value that occurs only once
     Duplicate {
-        /// Where it stands, for example `engine.name`.
+        /// The key, for example `engine.name`.
         key: String,
         /// The value.
         value: String,
     },
     /// {key} is `{value}`; allowed: {allowed}
     UnknownReference {
-        /// Where it stands, for example `engine lekh-model-03.zone`.
+        /// The key, for example `engine lekh-model-03.zone`.
         key: String,
         /// The value.
         value: String,
-        /// What it may refer to.
+        /// The values that it may refer to.
         allowed: String,
     },
     /// {key} is `{value}`; allowed: {allowed}
     OutOfRange {
-        /// Where it stands.
+        /// The key.
         key: String,
         /// The value.
         value: String,
@@ -40,14 +40,14 @@
     },
     /// {key}: {source}
     Policy {
-        /// Where it stands.
+        /// The key.
         key: String,
         /// What is wrong with the policy.
         source: PolicyError,
     },
     /// {key} is {floor} but only {engines} engines have such a role; allowed: at most {engines}
     FloorUnmet {
-        /// Where it stands.
+        /// The key.
         key: String,
         /// The floor.
         floor: u16,
@@ -56,17 +56,17 @@
     },
 }
 
-/// Collects what is wrong, so that an operator sees all of it at once.
+/// Collects all errors, so that an operator sees them at once.
 #[derive(Default)]
 pub(crate) struct Problems(Vec<ConfigurationError>);
 
 impl Problems {
-    /// The problems, when there are any.
+    /// Returns the problems as an error, if there are any.
     pub(crate) fn into_result(self) -> Result<(), Vec<ConfigurationError>> {
         if self.0.is_empty() { Ok(()) } else { Err(self.0) }
     }
 
-    /// Notes a reference to something that does not exist.
+    /// Records a reference to an item that does not exist.
     pub(crate) fn unknown(&mut self, key: String, value: impl ToString, allowed: impl Iterator<Item = String>) {
         let allowed: Vec<String> = allowed.collect();
         let allowed = if allowed.is_empty() { "nothing yet".to_owned() } else { allowed.join(", ") };
@@ -109,10 +109,10 @@
 }
 
 impl Configuration {
-    /// Checks the whole configuration.
+    /// Checks the full configuration.
     ///
     /// # Errors
-    /// Everything that is wrong, in the order of the configuration's sections.
+    /// All problems found, in the order of the configuration's sections.
     pub fn validate(&self) -> Result<(), Vec<ConfigurationError>> {
         let mut problems = Problems::default();
         self.check_names(&mut problems);
@@ -140,7 +140,8 @@
         self.check_api_keys(problems);
     }
 
-    /// Two tenants with one key could not be told apart. The message does not repeat the key, which is a secret.
+    /// Rejects a key shared by two tenants, since requests could not be attributed to one of them. The error does not
+    /// contain the key, which is a secret.
     fn check_api_keys(&self, problems: &mut Problems) {
         let mut owners: BTreeMap<&str, &Tenant> = BTreeMap::new();
         for tenant in &self.tenants {
--- a/crates/core/src/configuration/versions.rs
+++ b/crates/core/src/configuration/versions.rs
@@ -1,4 +1,4 @@
-//! The versions that one node holds. Everything here only ever goes up.
+//! The versions that one node holds. All of them only increase.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 pub struct VersionedConfiguration {
     /// The version.
     pub version: ConfigurationVersion,
-    /// What it holds.
+    /// The content of this version.
     pub configuration: Arc<Configuration>,
 }
 
-/// What a node tells its peers at one moment.
+/// The state that a node reports to its peers, captured for comparison.
 #[derive(Clone, Copy)]
 pub(super) struct Progress {
     pub watermarks: Watermarks,
@@ -26,7 +26,7 @@
 /// Content, changes and watermarks of one node.
 ///
 /// Invariants: `log` has no gaps; `content.version` never exceeds `recorded`, so that no version is in force here
-/// before the store has recorded it; `content.version` and `recorded` never go down.
+/// before the store has recorded it; `content.version` and `recorded` never decrease.
 #[derive(Default)]
 pub(super) struct Versions {
     content: Option<VersionedConfiguration>,
@@ -46,7 +46,7 @@
         self.content.as_ref().map(|content| content.version)
     }
 
-    /// The latest version whose changes are known here without a gap from the content.
+    /// The latest version that can be reached from the content through consecutive known changes.
     pub fn held(&self) -> Option<ConfigurationVersion> {
         let version = self.version()?;
         let last = self.log.back().map(|change| change.version);
@@ -58,7 +58,7 @@
         self.accepted
     }
 
-    /// How far the node is.
+    /// The node's progress.
     pub fn watermarks(&self) -> Watermarks {
         Watermarks { held: self.held(), in_force: self.recorded, accepted: self.accepted }
     }
@@ -68,7 +68,7 @@
         Holding { held: self.held(), in_force: self.version() }
     }
 
-    /// What peers are told, to compare with later.
+    /// Captures the reported state, for comparison with a later one.
     pub fn progress(&self) -> Progress {
         Progress { watermarks: self.watermarks(), holding: self.holding() }
     }
@@ -93,7 +93,7 @@
         Some(latest)
     }
 
-    /// Takes in changes, those that continue what is held; the others are dropped.
+    /// Adds changes that directly follow the latest held version; others are dropped.
     pub fn add_changes(&mut self, changes: Vec<VersionChange>) {
         for change in changes {
             if self.held().is_some_and(|held| change.version == held.next()) {
@@ -103,7 +103,7 @@
         self.advance();
     }
 
-    /// Takes in a whole configuration that is in force, if it is higher than what is in force here.
+    /// Loads a full configuration that is in force, if its version is higher than the one in force here.
     pub fn load(&mut self, version: ConfigurationVersion, configuration: Configuration) {
         if Some(version) <= self.version() {
             return;
@@ -117,18 +117,18 @@
         self.advance();
     }
 
-    /// Notes that the store has recorded a version as in force.
+    /// Records that the store lists a version as in force.
     pub fn raise_recorded(&mut self, version: Option<ConfigurationVersion>) {
         self.recorded = self.recorded.max(version);
         self.advance();
     }
 
-    /// Notes that a version is accepted.
+    /// Records that a version is accepted.
     pub fn raise_accepted(&mut self, version: Option<ConfigurationVersion>) {
         self.accepted = self.accepted.max(version);
     }
 
-    /// The changes that a peer lacks that holds `held`; nothing when only a snapshot can help.
+    /// The changes that a peer with `held` lacks; `None` when it needs a snapshot.
     pub fn changes_after(&self, held: Option<ConfigurationVersion>) -> Option<Vec<VersionChange>> {
         let held = held?;
         let first = self.log.front().map(|change| change.version);
--- a/crates/core/src/configuration/view.rs
+++ b/crates/core/src/configuration/view.rs
@@ -1,4 +1,4 @@
-//! The nodes that take part in spreading a configuration, as membership reports them.
+//! The nodes that take part in disseminating a configuration, as reported by membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,19 +8,19 @@
 use crate::membership::Member;
 use crate::world::ZoneName;
 
-/// A live node and where it stands.
+/// A live node and its zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LiveMember {
-    /// The node's present life.
+    /// The node's current incarnation.
     pub member: Member,
     /// Its zone.
     pub zone: ZoneName,
 }
 
-/// What membership knows: who is live, and which zones can't be reached as a whole.
+/// The local view of membership: the live nodes and the zones that are unreachable as a whole.
 ///
-/// A node that is missing here has stopped taking work (it suspends itself). A zone that can't be reached may well go
-/// on serving on its own, so it stays required for a change to come into force.
+/// A node that is missing here no longer accepts work (it suspends itself). An unreachable zone may continue to serve
+/// on its own, so it remains required for a change to come into force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LiveView {
     members: Vec<LiveMember>,
@@ -33,8 +33,8 @@
 pub struct MembersDigest(pub u64);
 
 impl LiveView {
-    /// A view with `members` live and `unreachable_zones` cut off. Members of a zone that is cut off are left out:
-    /// whether they still live is not known.
+    /// Creates a view with the live `members` and the `unreachable_zones`. Members of unreachable zones are omitted,
+    /// since it is unknown whether they are still alive.
     pub fn new(mut members: Vec<LiveMember>, unreachable_zones: BTreeSet<ZoneName>) -> Self {
         members.sort();
         members.dedup();
@@ -49,7 +49,7 @@
         &self.members
     }
 
-    /// The zones that can't be reached.
+    /// The unreachable zones.
     pub fn unreachable_zones(&self) -> &BTreeSet<ZoneName> {
         &self.unreachable_zones
     }
@@ -69,17 +69,17 @@
         self.members.iter().filter(move |live| &live.zone == zone).map(|live| live.member)
     }
 
-    /// The member that brings staged versions into force: the lowest-ranked live one.
+    /// The member that brings staged versions into force: the lowest-ranked live member.
     pub fn coordinator(&self) -> Option<Member> {
         self.members.first().map(|live| live.member)
     }
 
-    /// The member that gathers a zone's acknowledgements: the lowest-ranked live one of the zone.
+    /// The member that collects a zone's acknowledgements: the zone's lowest-ranked live member.
     pub fn delegate(&self, zone: &ZoneName) -> Option<Member> {
         self.in_zone(zone).next()
     }
 
-    /// The digest of a zone's live members; nothing when it has none.
+    /// The digest of a zone's live members; `None` when it has none.
     pub fn digest(&self, zone: &ZoneName) -> Option<MembersDigest> {
         self.zones.get(zone).copied()
     }
--- a/crates/core/src/control/config.rs
+++ b/crates/core/src/control/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a node's control.
+//! Settings of a node's control plane.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::configuration::{ReplicaConfig, ReplicaConfigError};
 use crate::membership::{MembershipConfig, MembershipConfigError};
 
-/// Settings of all parts of a node's control. All nodes of a deployment must have the same.
+/// Settings of all parts of a node's control plane. All nodes of a deployment must use the same settings.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
     /// The failure detector.
     pub membership: MembershipConfig,
-    /// The configuration's replica.
+    /// The configuration replica.
     pub configuration: ReplicaConfig,
     /// The control of a pool.
     pub pool: PoolControlConfig,
-    /// Time between two ticks of the pools that this node owns. A pool's changes move on by one step a tick.
+    /// Time between two ticks of the pools that this node owns. A pool's changes advance by one step per tick.
     pub pool_tick_interval: Duration,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// What is wrong with the settings.
+/// An invalid setting in one of the parts.
 #[derive(Clone, Debug, Display, PartialEq, Eq, thiserror::Error)]
 pub enum ControlConfigError {
     /// {0}
--- a/crates/core/src/control/message.rs
+++ b/crates/core/src/control/message.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of a node's control.
+//! Inputs and outputs of a node's control plane.
 
 use speedy::{Readable, Writable};
 
@@ -9,12 +9,12 @@
 use crate::time::Timestamp;
 use crate::world::{Address, EngineName, PoolId};
 
-/// A message between the controls of two nodes, other than those of the failure detector.
+/// A message between the control planes of two nodes, other than those of the failure detector.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum ControlMessage {
-    /// Between two replicas of the configuration.
+    /// A message between two configuration replicas.
     Configuration(ConfigurationMessage),
-    /// About the authority over a pool.
+    /// A message about the authority over a pool.
     Authority {
         /// The pool.
         pool: PoolId,
@@ -23,35 +23,35 @@
     },
 }
 
-/// Which part of control asked the store.
+/// The part of the control plane that made a store request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StoreCaller {
-    /// The configuration's replica.
+    /// The configuration replica.
     Configuration(StoreToken),
     /// The authority over a pool.
     Pool(PoolId),
 }
 
-/// What the caller hands to control.
+/// Inputs that the caller passes to the control plane.
 #[derive(Clone, Debug)]
 pub enum ControlInput {
-    /// A message of a failure detector has come.
+    /// A message of another node's failure detector has been received.
     Datagram {
-        /// Where it came from.
+        /// The sender.
         from: Address,
         /// The message.
         message: MembershipMessage,
     },
-    /// A message of another node's control has come.
+    /// A message of another node's control plane has been received.
     Peer {
-        /// The sender's present life, as it introduced itself.
+        /// The sender's current incarnation, as stated in its handshake.
         from: Member,
         /// The message.
         message: ControlMessage,
     },
     /// The reply to [`ControlAction::Store`].
     StoreReply {
-        /// Who asked.
+        /// The part that made the request.
         caller: StoreCaller,
         /// The reply.
         reply: StoreReply,
@@ -74,22 +74,22 @@
         /// The reply.
         reply: OrderReply,
     },
-    /// The work on a pool that this node dispatches for.
+    /// The workload of a pool that this node dispatches for.
     Observation {
         /// The pool.
         pool: PoolId,
-        /// The work.
+        /// The workload.
         observation: PoolObservation,
     },
-    /// Machines that the platform's list shows as leaving.
+    /// Machines that the platform's list marks as draining.
     MachinesLeaving(Vec<Address>),
-    /// The store's record of the configuration, as an operator's confirmation left it.
+    /// The store's record of the configuration after an operator's confirmation.
     Recorded(ConfigurationRecord),
-    /// This node is about to stop.
+    /// This node is about to stop and drains.
     Leave,
 }
 
-/// A change of an engine that this node has ordered and that was verified.
+/// A verified change of an engine that this node has ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolChange {
     /// The engine's pool.
@@ -98,26 +98,26 @@
     pub change: CompletedChange,
 }
 
-/// What the caller must do.
+/// Actions that the caller must perform.
 #[derive(Clone, Debug)]
 pub enum ControlAction {
-    /// Send a message to a failure detector, in one datagram.
+    /// Send a message to another node's failure detector, in one datagram.
     SendDatagram {
         /// The receiver.
         to: Address,
         /// The message.
         message: MembershipMessage,
     },
-    /// Send a message to another node's control.
+    /// Send a message to another node's control plane.
     SendPeer {
         /// The receiver.
         to: Member,
         /// The message.
         message: ControlMessage,
     },
-    /// Ask the store.
+    /// Send a request to the store.
     Store {
-        /// Who asks; to be returned with the reply.
+        /// The part that makes the request; to be returned with the reply.
         caller: StoreCaller,
         /// The request.
         request: StoreRequest,
@@ -133,7 +133,7 @@
         /// The term.
         term: Term,
     },
-    /// Give an engine an order.
+    /// Send an order to an engine.
     SendOrder {
         /// The engine's pool.
         pool: PoolId,
@@ -143,7 +143,8 @@
         address: Address,
         /// The order.
         order: Order,
-        /// When the caller reads a later time right before sending, it must not send, and reply `Unknown`.
+        /// Deadline: if the time right before sending is later, the caller must not send the order and must reply
+        /// `Unknown`.
         send_before: Timestamp,
     },
     /// Ask an engine for its report.
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,7 +1,8 @@
-//! The control of one node: membership, configuration, and the authority over the pools that it may own, joined.
+//! The control plane of one node: combines membership, configuration, and the authority over the pools that the node
+//! may own.
 //!
-//! [`NodeControl`] is a state machine: the caller hands in what came from sockets and time, and carries out the actions.
-//! The same code runs on a node's control thread and, hundreds of times over, in simulations.
+//! [`NodeControl`] is a state machine: the caller passes in received messages and the time, and performs the resulting
+//! actions. The same code runs on a node's control thread and, in hundreds of instances, in simulations.
 
 mod config;
 mod message;
--- a/crates/core/src/control/node_control.rs
+++ b/crates/core/src/control/node_control.rs
@@ -1,4 +1,4 @@
-//! The control of one node.
+//! The control plane of one node.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,27 +15,27 @@
 use crate::time::Timestamp;
 use crate::world::{Address, PoolId, ZoneName};
 
-/// Who a node is, and whom it asks first.
+/// A node's identity and the nodes through which it joins.
 #[derive(Clone, Debug)]
 pub struct NodeIdentity {
-    /// The node in its first life.
+    /// The node in its first incarnation.
     pub member: Member,
     /// The zone of its machine.
     pub zone: ZoneName,
-    /// Nodes through which it joins.
+    /// Seed nodes, contacted first to join.
     pub seeds: Vec<Address>,
 }
 
-/// What a node's control publishes.
+/// The status that a node's control plane publishes.
 #[derive(Clone, Debug)]
 pub struct ControlStatus {
-    /// This node in its present life.
+    /// This node in its current incarnation.
     pub me: Member,
-    /// Whether it may take new work.
+    /// Whether it may accept new work.
     pub standing: Standing,
-    /// Until when it may take new work if control says nothing more.
+    /// Until when it may accept new work without a further update from the control plane.
     pub trusted_until: Option<Timestamp>,
-    /// Whether it is about to stop.
+    /// Whether it is draining and about to stop.
     pub leaving: bool,
     /// The version in force, if any.
     pub version: Option<ConfigurationVersion>,
@@ -43,7 +43,7 @@
     pub configuration_ready: bool,
 }
 
-/// Joins the parts of a node's control.
+/// Combines the parts of a node's control plane.
 pub struct NodeControl {
     config: ControlConfig,
     zone: ZoneName,
@@ -59,7 +59,7 @@
 }
 
 impl NodeControl {
-    /// The control of a process that starts at `now`. `seed` makes its random choices repeatable.
+    /// Creates the control plane of a process that starts at `now`. `seed` makes its random choices reproducible.
     ///
     /// # Errors
     /// When a setting is out of range.
@@ -91,7 +91,7 @@
         Ok(control)
     }
 
-    /// Takes in what has happened.
+    /// Applies an input.
     pub fn step(&mut self, input: ControlInput, now: Timestamp) {
         match input {
             ControlInput::Datagram { from, message } => self.membership.step(from, message, now),
@@ -123,7 +123,7 @@
         self.follow_up(now);
     }
 
-    /// Does what is due at `now`.
+    /// Performs the work that is due at `now`.
     pub fn tick(&mut self, now: Timestamp) {
         self.membership.tick(now);
         self.replica.tick(now);
@@ -138,18 +138,18 @@
         self.follow_up(now);
     }
 
-    /// When [`NodeControl::tick`] has to be called at the latest.
+    /// The latest time for the next call of [`NodeControl::tick`].
     pub fn next_tick(&self) -> Timestamp {
         let parts = [self.membership.next_tick(), Some(self.replica.next_tick()), Some(self.next_pool_tick)];
         parts.into_iter().flatten().min().unwrap_or(self.next_pool_tick)
     }
 
-    /// What to do now, in order.
+    /// Takes the pending actions, to be performed in order.
     pub fn take_ready(&mut self) -> Vec<ControlAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The changes of engines that this node has ordered, completed since the last call.
+    /// Takes the engine changes ordered by this node that have completed since the last call.
     pub fn take_completed_changes(&mut self) -> Vec<PoolChange> {
         let changes = |(pool, local_pool): (&PoolId, &mut LocalPool)| {
             let pool = pool.clone();
@@ -159,7 +159,7 @@
         self.pools.iter_mut().flat_map(changes).collect()
     }
 
-    /// Begins a new life after this node has been suspended; its pools are followers again.
+    /// Starts a new incarnation after this node has been suspended; it follows in all its pools again.
     pub fn rejoin(&mut self, incarnation: Incarnation, now: Timestamp) -> Member {
         let me = self.membership.rejoin(incarnation, now);
         self.replica.step(ConfigurationInput::Rejoined(me), now);
@@ -172,7 +172,7 @@
         me
     }
 
-    /// What this node publishes.
+    /// The current status.
     pub fn status(&self) -> ControlStatus {
         ControlStatus {
             me: self.membership.me(),
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Rises whenever the view, the configuration or the owners of pools have changed.
+    /// A counter that increases whenever the view, the configuration or the owners of pools have changed.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -194,7 +194,7 @@
         &self.in_force
     }
 
-    /// The configuration's replica.
+    /// The configuration replica.
     pub fn replica(&self) -> &ConfigurationReplica {
         &self.replica
     }
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Passes on what one part has found out to the others, and collects what is to be done.
+    /// Passes events of one part on to the others, and collects the resulting actions.
     fn follow_up(&mut self, now: Timestamp) {
         self.follow_membership(now);
         self.follow_replica(now);
--- a/crates/core/src/control/pools.rs
+++ b/crates/core/src/control/pools.rs
@@ -1,4 +1,4 @@
-//! The pools that a node may own, and their control.
+//! The pools of the deployment on one node, and their control.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::time::Timestamp;
 use crate::world::{Address, Engine, EngineName, EnginePerformance, EngineRole, Model, Pool, PoolId, ZoneName};
 
-/// The engines of a configuration, by their names.
+/// The engines of a configuration by name.
 pub(super) struct Fleet<'a> {
     by_name: BTreeMap<&'a EngineName, &'a Engine>,
 }
@@ -30,16 +30,16 @@
     }
 }
 
-/// A pool, who may own it, and its control on this node.
+/// A pool, the nodes that may own it, and its control on this node.
 pub struct LocalPool {
     /// The pool.
     pub pool: Pool,
     /// The nodes that may own it, the owner first.
     pub owners: Vec<Member>,
-    /// Its control; only on nodes of the pool's zones.
+    /// Its control; created only on nodes in the pool's zones.
     pub control: Option<PoolControl>,
-    /// The pool's engines. A node looks at its pools several times a second, and the whole fleet is too large to be
-    /// searched each time.
+    /// The pool's engines, cached because a node inspects its pools several times a second and the fleet is too large
+    /// to be searched each time.
     engines: Vec<Engine>,
     role_policy: Option<PolicyChoice>,
     shadow_policies: Vec<PolicyChoice>,
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Whether `member` is the owner, as far as is known here.
+    /// Whether `member` is the owner in this node's local view.
     pub fn is_owned_by(&self, member: Member) -> bool {
         self.owners.first() == Some(&member)
     }
 
-    /// The engines for the dispatcher of `me`. A node that is not the owner may use none.
+    /// The engines for the dispatcher of `me`. They are unavailable to a node that is not the owner.
     pub fn slots(&self, configuration: &Configuration, me: Member, zone: &ZoneName, now: Timestamp) -> Vec<EngineSlot> {
         let owner = self.is_owned_by(me);
         let roles = self.reported_roles(now);
@@ -79,7 +79,7 @@
             .collect()
     }
 
-    /// What a role policy is told of the pool's limits.
+    /// The pool's limits, as input for a role policy.
     pub fn limits(&self, configuration: &Configuration) -> PoolLimits {
         let floors = self.floors(model_of(configuration, &self.pool.id));
         PoolLimits {
@@ -95,7 +95,7 @@
         self.engines.iter().find(|known| &known.name == engine).map(|known| known.address)
     }
 
-    /// The same standing with the pool's engines as a new configuration has them.
+    /// Replaces the pool by its definition in a new configuration and keeps the other state.
     pub(super) fn with_pool(self, pool: Pool) -> Self {
         LocalPool { pool, ..self }
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Takes the configuration in, and makes the pool's control on a node of its zones.
+    /// Applies the configuration, and creates the pool's control on nodes in its zones.
     pub(super) fn configure(
         &mut self,
         configuration: &Configuration,
@@ -118,7 +118,7 @@
         now: Timestamp,
     ) {
         self.engines = fleet.engines_of(&self.pool);
-        // A control that exists stays, as a follower that is ranked no more: replies to its calls may still come.
+        // An existing control is kept as an unranked follower, since replies to its calls may still arrive.
         if self.control.is_none() && !self.pool.zones.contains(zone) {
             return;
         }
@@ -138,8 +138,8 @@
         let new_control = || PoolControl::new(config.clone(), self.pool.id.clone(), me, now);
         let control = self.control.get_or_insert_with(new_control);
         control.set_engines(specifications, floors, now);
-        // Policies remember what they have seen, so they are made anew only when they change. A configuration in force
-        // names only policies that exist, since it was validated.
+        // Policies keep state, so they are recreated only when their choice changes. A configuration in force names
+        // only existing policies, since it was validated.
         if self.role_policy != configuration.role_policy {
             self.role_policy.clone_from(&configuration.role_policy);
             control.set_policy(configuration.role_policy.as_ref().and_then(|choice| role_policy(choice).ok()));
@@ -151,19 +151,20 @@
         }
     }
 
-    /// This node begins a new life as `me`. The control stays: replies to calls of the former life are still to come.
+    /// Starts a new incarnation of this node as `me`. The control is kept, since replies to calls of the previous
+    /// incarnation may still arrive.
     pub(super) fn rejoin(&mut self, me: Member, now: Timestamp) {
         if let Some(control) = &mut self.control {
             control.rejoin(me, now);
         }
     }
 
-    /// The changes of the pool's engines completed since the last call.
+    /// Takes the changes of the pool's engines that have completed since the last call.
     pub(super) fn take_completed(&mut self) -> Vec<CompletedChange> {
         self.control.as_mut().map(PoolControl::take_completed).unwrap_or_default()
     }
 
-    /// What the pool's control wants done.
+    /// Takes the actions that the pool's control requests, with engine addresses resolved.
     pub(super) fn take_actions(&mut self) -> Vec<ControlAction> {
         let Some(control) = &mut self.control else { return Vec::new() };
         let actions = control.take_ready();
@@ -204,7 +205,7 @@
         states.into_iter().filter_map(|status| Some((status.engine, status.role?))).collect()
     }
 
-    /// The model's floors hold over all its pools; each pool keeps its share, rounded up, but never all its engines.
+    /// Returns the model's floors, capped so that they never cover all engines of the pool.
     fn floors(&self, model: Option<&Model>) -> RoleFloors {
         let Some(model) = model else { return RoleFloors::default() };
         let most = u16::try_from(self.pool.engines.len().saturating_sub(1)).unwrap_or(u16::MAX);
@@ -212,7 +213,7 @@
     }
 }
 
-/// The one-way latency between two zones by configuration; none inside a zone or where no link is given.
+/// The configured one-way latency between two zones; zero within a zone or without a link.
 pub fn link_latency(configuration: &Configuration, from: &ZoneName, to: &ZoneName) -> Duration {
     let between =
         |link: &&crate::world::Link| (&link.from == from && &link.to == to) || (&link.from == to && &link.to == from);
--- a/crates/core/tests/configuration_faults.rs
+++ b/crates/core/tests/configuration_faults.rs
@@ -1,7 +1,7 @@
-//! The guarantees of configuration under loss, doubling, reordering, partitions, pauses, kills and a faulty store.
+//! The guarantees of configuration under loss, duplication, reordering, partitions, pauses, kills and a faulty store.
 //!
-//! `World::check` asserts them after every step: no version goes down at a node, none is in force before the store has
-//! recorded it, and no node serves by a lower version than the highest accepted one.
+//! `World::check` asserts them after every step: no version decreases at a node, none is in force before the store has
+//! recorded it, and no node serves with a lower version than the highest accepted one.
 
 #[path = "support/configuration_world.rs"]
 mod world;
@@ -20,16 +20,16 @@
 const ZONES: usize = 3;
 const NODES_PER_ZONE: usize = 3;
 const STEPS: usize = 40;
-/// Bytes of random choices for one scenario; the low half of a seed of `arbtest`.
+/// Bytes of random choices for one scenario; the low half of an `arbtest` seed.
 const ENTROPY: u64 = 2_048;
 const SCENARIOS: u64 = 200;
 
-/// Seeds of `arbtest`: constant, so that the verdict is the same every time.
+/// Constant seeds for `arbtest`, so that the result is reproducible.
 fn seeds() -> impl Iterator<Item = u64> {
     (1..=SCENARIOS).map(|number| (number.wrapping_mul(0x9e37_79b9) << 32) | ENTROPY)
 }
 
-/// Snapshots and gaps, rare with the default settings, are common here.
+/// Starts a world with settings under which snapshots and gaps are common; they are rare with the default settings.
 fn started_world(seed: u64) -> World {
     let config = ReplicaConfig { compact_above: 5, log_maximum: 2, ..ReplicaConfig::default() };
     let mut world = World::with_config(seed, ZONES, NODES_PER_ZONE, NetworkFaults::default(), config);
@@ -60,7 +60,7 @@
     })
 }
 
-/// Operators at two nodes confirm different plans, made for what each node has as its latest version.
+/// Operators at two nodes confirm different plans, each based on the latest version that its node knows.
 fn confirm_two(world: &mut World, u: &mut Unstructured) -> Result<()> {
     for _ in 0..2 {
         let node = u.choose_index(world.len())?;
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// Ends all faults, and expects the latest version to be accepted.
+/// Clears all faults, and expects the latest version to be accepted.
 fn recover(world: &mut World) {
     world.store.faults = StoreFaults::default();
     world.set_faults(NetworkFaults::default());
@@ -113,18 +113,19 @@
     assert!(recovered, "not accepted a minute after all faults: {statuses:#?}");
 }
 
-/// Of all confirmations, at most one plan won each version, and whoever was told "nothing happened" was told the truth.
+/// Checks that at most one confirmed plan created each version, and that the plan of an operator who was informed that
+/// nothing happened is not in the record.
 fn check_confirmations(world: &World) {
     let record = world.store.record();
-    let mut winners: BTreeMap<ConfigurationVersion, u64> = BTreeMap::new();
+    let mut plans: BTreeMap<ConfigurationVersion, u64> = BTreeMap::new();
     for (number, operator) in world.operators.iter().enumerate() {
         let (_, end) = operator.ended.as_ref().expect("ended");
         let confirmed = record.version_of(operator.plan.id);
         match end {
             StoreEditEnd::Settled(ConfirmationOutcome::Confirmed { version, .. }) => {
-                assert_eq!(confirmed, Some(*version), "operator {number} was told of another version");
-                let winner = winners.entry(*version).or_insert(operator.plan.id.0);
-                assert_eq!(*winner, operator.plan.id.0, "two plans won version {version}");
+                assert_eq!(confirmed, Some(*version), "operator {number} received another version");
+                let confirmed_plan = plans.entry(*version).or_insert(operator.plan.id.0);
+                assert_eq!(*confirmed_plan, operator.plan.id.0, "two plans created version {version}");
             }
             StoreEditEnd::Settled(_) | StoreEditEnd::GaveUp { may_take_effect: false } => {
                 assert_eq!(confirmed, None, "operator {number} was told that nothing happened");
@@ -150,16 +151,16 @@
     }
 }
 
-/// Every node is replaced at once, and the store answers reads from before the last accepted versions.
+/// All nodes restart at once while the store returns stale reads from before the last accepted versions.
 #[test]
-fn a_restart_of_all_nodes_with_a_store_that_answers_from_the_past_loses_no_accepted_version() {
+fn a_restart_of_all_nodes_with_stale_store_reads_loses_no_accepted_version() {
     for seed in 0..10 {
         let mut world = started_world(seed);
         for requests in 10..13 {
             confirm_and_wait(&mut world, requests);
         }
         world.run(Duration::from_secs(2));
-        assert_ne!(world.store.record().snapshot, ConfigurationVersion(0), "the restart must go by a snapshot");
+        assert_ne!(world.store.record().snapshot, ConfigurationVersion(0), "the restart must use a snapshot");
         world.store.faults.stale_reads = 0.9;
         world.start_all();
         let end = world.now + Duration::from_secs(60);
@@ -167,7 +168,7 @@
     }
 }
 
-/// Readiness waits for the floor that engines report, even if the store has truly lost its last versions.
+/// Readiness waits for the floor that engines report, even if the store has lost its last versions.
 #[test]
 fn a_node_is_ready_only_at_the_floor() {
     for floor in [1, 2] {
@@ -194,7 +195,8 @@
     assert_eq!(version, Some(ConfigurationVersion(2)));
 }
 
-/// While a zone is cut off, a change waits and says for which zone; both sides serve by the old version.
+/// While a zone is cut off, a change stays pending and its status lists the zone; both sides serve with the old
+/// version.
 #[test]
 fn a_change_waits_for_a_zone_that_is_cut_off() {
     let mut world = started_world(5);
@@ -207,16 +209,17 @@
     let status = world.replica(0).expect("running").status();
     assert_eq!(status.missing_zones, [fixture::zone_name(2)]);
     assert_eq!(status.pending.len(), 1);
-    assert!(world.all_serve(), "serving must go on in a split");
+    assert!(world.all_serve(), "serving must continue in a partition");
     world.heal();
     let end = world.now + Duration::from_secs(6);
     let second = ConfigurationVersion(2);
-    assert!(world.run_until(end, |world| world.accepted.contains_key(&second)), "not accepted after the split");
+    assert!(world.run_until(end, |world| world.accepted.contains_key(&second)), "not accepted after the partition");
 }
 
-/// A member that does not answer and is not yet declared dead is named to the operator, whichever node was asked.
+/// A member that does not answer and is not yet declared dead is reported to the operator, also at a node that is not
+/// the coordinator.
 #[test]
-fn a_pending_change_names_the_member_that_holds_it_up() {
+fn a_pending_change_names_the_member_that_delays_it() {
     let mut world = started_world(6);
     let latest = world.replica(7).and_then(|replica| replica.latest()).expect("a configuration");
     world.pause(4);
--- a/crates/core/tests/configuration_history.rs
+++ b/crates/core/tests/configuration_history.rs
@@ -1,4 +1,4 @@
-//! Linearizability of concurrent confirmations and reads, by the checker of `todc-utils`.
+//! Linearizability of concurrent confirmations and reads, checked with `todc-utils`.
 
 #[path = "support/configuration_world.rs"]
 mod world;
@@ -22,7 +22,7 @@
 /// An operation with its result.
 #[derive(Clone, Debug, PartialEq)]
 enum Operation {
-    /// The plan made this version.
+    /// The plan created this version.
     Confirmed { plan: PlanId, base: u64, version: u64 },
     /// The plan was refused as stale.
     Stale { plan: PlanId, base: u64 },
@@ -30,7 +30,7 @@
     Read { latest: u64 },
 }
 
-/// The sequential specification: a list of confirmed plans that only grows, one a version.
+/// The sequential specification: an append-only list of confirmed plans, one per version.
 struct Confirmations;
 
 impl Specification for Confirmations {
@@ -85,7 +85,7 @@
     world
 }
 
-/// Confirms plans from several nodes at once, now and then one that was confirmed before, and reads in between.
+/// Confirms plans from several nodes concurrently, sometimes repeating an earlier plan, and reads in between.
 fn confirm_concurrently(world: &mut World, seed: u64) {
     let mut random = Rng::with_seed(seed);
     let mut plans: Vec<Plan> = Vec::new();
@@ -107,7 +107,7 @@
     assert!(world.run_until(end, all_ended), "a confirmation has not ended");
 }
 
-/// What a confirmation did; one that gave up is what the store's record tells, with its end left open.
+/// The interval of a confirmation. For one that gave up, the store's record gives the version and the end is open.
 fn interval_of(world: &World, operator: &Operator) -> Option<Interval<Operation>> {
     let (plan, base) = (operator.plan.id, operator.plan.base.0);
     let (ended, end) = operator.ended.as_ref().expect("ended");
@@ -144,9 +144,9 @@
     }
 }
 
-/// Reads from the past can't be linearizable, but confirmations that rest on them still are.
+/// Stale reads can't be linearizable, but confirmations based on them still are.
 #[test]
-fn confirmations_are_linearizable_although_the_store_answers_from_the_past() {
+fn confirmations_are_linearizable_with_stale_store_reads() {
     for seed in 0..SEEDS {
         let mut world = started_world(seed);
         world.store.faults = StoreFaults { reply_loss: 0.3, stale_reads: 0.5, ..StoreFaults::default() };
@@ -156,16 +156,16 @@
     }
 }
 
-/// An operation on the configuration that one node serves by.
+/// An operation on the configuration that one node serves with.
 #[derive(Clone, Debug)]
 enum ServedOperation {
     /// A version, from its confirmation until it is accepted.
     Write(u64),
-    /// The version that the node serves by.
+    /// The version that the node serves with.
     Read(u64),
 }
 
-/// The sequential specification: a register whose versions are written one after another.
+/// The sequential specification: a register whose versions are written in sequence.
 struct ServedVersion;
 
 impl Specification for ServedVersion {
@@ -185,7 +185,7 @@
     }
 }
 
-/// Versions from confirmation to acceptance; a version is accepted with the first one declared that is not lower.
+/// Versions from confirmation to acceptance; a version counts as accepted once it or a higher one is declared accepted.
 fn writes(world: &World) -> Vec<Interval<ServedOperation>> {
     let mut writes = Vec::new();
     for confirmed in world.store.record().confirmed {
@@ -197,10 +197,11 @@
     writes
 }
 
-/// What each node serves by is linearizable with the writes: it sees them in order, none before it was confirmed, and
-/// each once it is accepted. Between two nodes there is no such order while a version comes into force.
+/// The version that each node serves with is linearizable with the writes: a node observes them in order, none before
+/// it was confirmed, and each once it is accepted. This does not hold across two nodes while a version comes into
+/// force.
 #[test]
-fn what_each_node_serves_by_is_linearizable_with_accepted_versions() {
+fn the_version_served_by_each_node_is_linearizable_with_accepted_versions() {
     for seed in 0..SEEDS {
         let faults = NetworkFaults { loss: 0.1, delay_maximum: Duration::from_millis(200), ..NetworkFaults::default() };
         let mut world = started_world(seed);
--- a/crates/core/tests/configuration_rules.rs
+++ b/crates/core/tests/configuration_rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of a replica that the scenarios reach only by chance.
+//! Individual rules of a replica that the randomized scenarios cover only by chance.
 
 #[path = "support/configuration_fixture.rs"]
 #[allow(dead_code)]
@@ -26,12 +26,12 @@
     LiveMember { member: member(index), zone: fixture::zone_name(zone) }
 }
 
-/// A coordinator in zone 0, with nodes 1 and 2 in zone 1.
+/// A view with the coordinator in zone 0, and nodes 1 and 2 in zone 1.
 fn view() -> LiveView {
     LiveView::new(vec![live(0, 0), live(1, 1), live(2, 1)], BTreeSet::new())
 }
 
-/// Node 0, with version 1 staged and nothing but version 0 in force.
+/// The replica of node 0, with version 1 staged and version 0 in force.
 fn replica(view: LiveView, now: Timestamp) -> ConfigurationReplica {
     let config = ReplicaConfig::default();
     let mut replica = ConfigurationReplica::new(config, member(0), fixture::zone_name(0), 1).expect("valid settings");
@@ -46,7 +46,7 @@
     ConfigurationRecord::default().stage(PlanId(7), ConfigurationVersion(0), changes).expect("stageable")
 }
 
-/// Lets a ready peer vouch for the replica after it has settled.
+/// Answers the replica's probes as a ready peer until the replica is ready.
 fn make_ready(replica: &mut ConfigurationReplica, now: Timestamp) -> Timestamp {
     let mut now = now;
     while !replica.is_ready() {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_statement_about_other_members_of_a_zone_brings_nothing_into_force() {
+fn a_statement_about_another_set_of_zone_members_brings_nothing_into_force() {
     let mut replica = replica(view(), Timestamp::ZERO);
     let now = make_ready(&mut replica, Timestamp::ZERO);
     replica.take_ready();
@@ -124,9 +124,9 @@
     assert!(!accepted(&replica.take_ready()), "accepts before it can know all live nodes");
 }
 
-/// A node that proves by the store that it has the latest version, is paused, and then gets the reply.
+/// A node starts to prove through the store that it has the latest version, is paused, and then receives the reply.
 #[test]
-fn a_proof_from_before_a_pause_proves_nothing_after_it() {
+fn a_proof_started_before_a_pause_is_ignored_after_it() {
     let alone = LiveView::new(vec![live(0, 0)], BTreeSet::new());
     for paused in [false, true] {
         let mut replica = replica(alone.clone(), Timestamp::ZERO);
@@ -138,19 +138,19 @@
     }
 }
 
-/// A node that sleeps while it settles has heard of nobody meanwhile.
+/// A node that does not run during its settle time receives no updates from peers in that time.
 #[test]
-fn time_in_which_a_node_does_nothing_postpones_its_proof() {
+fn a_gap_between_calls_postpones_the_proof() {
     let alone = LiveView::new(vec![live(0, 0)], BTreeSet::new());
     let mut replica = replica(alone, Timestamp::ZERO);
     let gap = 1_500;
     let calls = [0, 250, 500].into_iter().chain((0..40).map(|step| 500 + gap + step * 250));
     let (_, now) = begin_proof(&mut replica, calls);
     let settled = Timestamp::from_millis(gap) + ReplicaConfig::default().settle_time;
-    assert!(now >= settled, "proves at {now:?}, before it has run for the time to settle");
+    assert!(now >= settled, "proves at {now:?}, before it has run for the settle time");
 }
 
-/// Calls the replica at these milliseconds and answers reads with the record, until the replica writes it back.
+/// Ticks the replica at `calls`, in milliseconds, and answers reads with the record, until the replica writes it back.
 fn begin_proof(replica: &mut ConfigurationReplica, calls: impl Iterator<Item = u64>) -> (StoreToken, Timestamp) {
     let value = serde_json::to_string(&staged_record()).expect("text");
     let object = StoredObject { revision: Revision(4), operation: OperationId(1), value };
@@ -166,12 +166,12 @@
             return (token, now);
         }
     }
-    panic!("the replica asks for no proof");
+    panic!("the replica starts no proof");
 }
 
-/// A coordinator that has just joined may not have heard of a whole zone, which may well serve.
+/// A coordinator that has just joined may not have learned of an entire zone that is serving.
 #[test]
-fn a_configured_zone_that_a_new_view_does_not_know_is_required() {
+fn a_configured_zone_that_is_missing_in_a_new_view_is_required() {
     let alone = LiveView::new(vec![live(0, 0)], BTreeSet::new());
     let mut replica = replica(alone, Timestamp::ZERO);
     let activated = (0..200).map(|step| Timestamp::from_millis(step * 250)).find(|now| {
@@ -184,7 +184,8 @@
     assert!(activated.is_some_and(|activated| expected.contains(&activated)), "{activated:?} is not in {expected:?}");
 }
 
-/// Answers what the replica asks of a store that holds version 1 staged; tells whether it asks to bring it into force.
+/// Answers the replica's requests as a store in which version 1 is staged; returns whether the replica writes a record
+/// that brings it into force.
 fn answer_store(replica: &mut ConfigurationReplica, now: Timestamp) -> bool {
     let staged = serde_json::to_string(&staged_record()).expect("text");
     loop {
--- a/crates/core/tests/configuration_spread.rs
+++ b/crates/core/tests/configuration_spread.rs
@@ -1,4 +1,4 @@
-//! How a version spreads without faults.
+//! Dissemination of a version without faults.
 
 #[path = "support/configuration_world.rs"]
 mod world;
@@ -9,7 +9,7 @@
 use havengate_core::simulation::NetworkFaults;
 use world::{World, fixture};
 
-/// A world that serves by version 1.
+/// Starts a world and waits until version 1 is accepted.
 fn started_world(seed: u64, zones: usize, nodes_per_zone: usize, engines: usize) -> World {
     let mut world = World::new(seed, zones, nodes_per_zone, NetworkFaults::default());
     world.start_all();
--- a/crates/core/tests/support/configuration_fixture.rs
+++ b/crates/core/tests/support/configuration_fixture.rs
@@ -34,7 +34,7 @@
     ZoneName::new(format!("zone-{index:02}"))
 }
 
-/// Zones in regions of four, one model, `engines` engines, one contract and one tenant.
+/// Zones grouped into regions of four, one model, `engines` engines, one contract and one tenant.
 pub fn configuration(zones: usize, engines: usize) -> Configuration {
     let zone = |index: usize| Zone { name: zone_name(index), region: RegionName::new(format!("region-{}", index / 4)) };
     let engine = |index: usize| Engine {
@@ -93,7 +93,7 @@
     plan_configuration(&PlannerConfig::default(), &empty, configuration, &BTreeMap::new()).expect("a valid plan")
 }
 
-/// A plan that gives the tenant another limit; different limits make different plans.
+/// A plan that changes the tenant's limit; different limits result in different plans.
 pub fn limit_plan(latest: &VersionedConfiguration, requests: u32) -> Plan {
     let limits = TenantLimits { concurrent_requests: requests, work_tokens_per_second: 10_000 };
     let change = TenantIntent { name: TenantName::from("press"), api_key: None, contract: None, limits: Some(limits) };
--- a/crates/core/tests/support/configuration_world.rs
+++ b/crates/core/tests/support/configuration_world.rs
@@ -1,8 +1,8 @@
-//! Replicas of the configuration in virtual time, with a model of the platform's store and of membership.
+//! Configuration replicas in virtual time, with models of the platform's store and of membership.
 //!
-//! Membership is an oracle with the delays that the real one promises: a started node is in every view within 1 s, a
-//! silent one leaves them after 3 s, an isolated one suspends itself after 2 s. The checks of the guarantees run at
-//! every step, see [`World::check`].
+//! Membership is an oracle with the delays that the real implementation guarantees: a started node is in every view
+//! within 1 s, a silent node is removed after 3 s, and an isolated node suspends itself after 2 s. [`World::check`]
+//! checks the guarantees at every step.
 
 #![allow(dead_code)]
 
@@ -35,18 +35,18 @@
 
 use store_model::StoreModel;
 
-/// Views lag by at most this.
+/// Maximum delay of a view.
 const VIEW_LAG: Duration = Duration::from_millis(600);
-/// A started node is listed after this.
+/// Time until a started node is listed.
 const LISTED_AFTER: Duration = Duration::from_millis(300);
-/// Changes of the same moment are published together after this.
+/// Time after which simultaneous changes are published together.
 const PUBLISHED_AFTER: Duration = Duration::from_millis(1);
-/// A silent node is no longer listed after this.
+/// Time until a silent node is no longer listed.
 const DETECTED_AFTER: Duration = Duration::from_secs(3);
-/// An isolated node suspends itself after this.
+/// Time until an isolated node suspends itself.
 const SUSPENDED_AFTER: Duration = Duration::from_secs(2);
 
-/// A message on its way between two lives of nodes.
+/// A message in transit between two incarnations of nodes.
 #[derive(Clone, Debug)]
 struct Envelope {
     from: Member,
@@ -54,7 +54,7 @@
     message: ConfigurationMessage,
 }
 
-/// Whom the store answers.
+/// The receiver of a store reply.
 #[derive(Clone, Debug)]
 enum Client {
     Replica(Member),
@@ -95,18 +95,18 @@
     /// The plan.
     pub plan: Plan,
     via: usize,
-    /// When it was begun.
+    /// When it started.
     pub called: Timestamp,
-    /// When it ended, and how.
+    /// When it ended, and its result.
     pub ended: Option<(Timestamp, StoreEditEnd<ConfirmationOutcome>)>,
     notified: bool,
 }
 
 /// A read of the store's record by an operator.
 pub struct RecordRead {
-    /// When it was begun.
+    /// When it started.
     pub called: Timestamp,
-    /// When it was answered, and with which latest version.
+    /// When it was answered, and the latest version in the answer.
     pub ended: Option<(Timestamp, ConfigurationVersion)>,
 }
 
@@ -119,13 +119,13 @@
     pub bytes: u64,
 }
 
-/// The replicas and what surrounds them.
+/// The replicas with the simulated network, store and membership.
 pub struct World {
-    /// The present time.
+    /// The current virtual time.
     pub now: Timestamp,
     /// The store.
     pub store: StoreModel,
-    /// What nodes have sent.
+    /// Total traffic sent by all nodes.
     pub traffic: Traffic,
     /// Bytes sent by each node.
     pub bytes_by_node: Vec<u64>,
@@ -153,12 +153,12 @@
 }
 
 impl World {
-    /// `zones` zones with `nodes_per_zone` nodes each; the nodes are not started yet.
+    /// Creates `zones` zones with `nodes_per_zone` nodes each; the nodes are not started yet.
     pub fn new(seed: u64, zones: usize, nodes_per_zone: usize, faults: NetworkFaults) -> World {
         World::with_config(seed, zones, nodes_per_zone, faults, ReplicaConfig::default())
     }
 
-    /// The same with other settings of the replicas.
+    /// Same as [`World::new`], with the given replica settings.
     pub fn with_config(
         seed: u64,
         zones: usize,
@@ -201,7 +201,7 @@
         self.nodes.len()
     }
 
-    /// Begins to confirm `plan`; node `via` learns of its success.
+    /// Starts to confirm `plan`; node `via` is notified of its success.
     pub fn confirm(&mut self, plan: &Plan, via: usize) -> usize {
         let confirmation = Confirmation::new(StoreEditConfig::default(), StagePlan::new(plan.clone()), self.now);
         self.operators.push(Operator {
@@ -217,7 +217,7 @@
         operator
     }
 
-    /// Begins to read the store's record.
+    /// Starts a read of the store's record.
     pub fn read_record(&mut self) {
         self.reads.push(RecordRead { called: self.now, ended: None });
         let client = Client::Reader(self.reads.len() - 1);
@@ -229,12 +229,12 @@
         self.nodes[index].replica.as_ref()
     }
 
-    /// Gives a replica an input of its node.
+    /// Passes an input to the replica of a node.
     pub fn give(&mut self, index: usize, input: ConfigurationInput) {
         self.step(index, input);
     }
 
-    /// Whether a node runs, counts itself as live and is ready to serve.
+    /// Whether a node is running, not suspended, and ready to serve.
     pub fn serves(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         let ready_until = node.replica.as_ref().and_then(ConfigurationReplica::ready_until);
