--- a/crates/core/examples/membership_scale.rs
+++ b/crates/core/examples/membership_scale.rs
@@ -1,7 +1,9 @@
-//! Measures the failure detector at several sizes in virtual time: detection, spreading, traffic, processor time.
+//! Measures the failure detector at several cluster sizes in virtual time: detection, dissemination, traffic and
+//! processor time.
 //!
-//! `cargo run --release -p havengate-core --example membership_scale [KILLS [LOSS_PERCENT]]`. All figures but the processor time follow
-//! from the seed alone; the processor time is that of the simulation, network included, on the machine at hand.
+//! `cargo run --release -p havengate-core --example membership_scale [KILLS [LOSS_PERCENT]]`.
+//! All figures except the processor time depend only on the seed; the processor time is that of the simulation,
+//! including its network, on the current machine.
 
 #[path = "../tests/support/membership_cluster.rs"]
 #[allow(dead_code)]
@@ -17,18 +19,18 @@
 use havengate_core::world::ZoneName;
 use membership_cluster::{Cluster, NodeIndex};
 
-/// Zones and nodes in each: 15, 30, 100 and 330 nodes.
+/// Number of zones and of nodes in each: 15, 30, 100 and 330 nodes in total.
 const SIZES: [(usize, usize); 4] = [(3, 5), (3, 10), (10, 10), (11, 30)];
 const RANDOM_SEED: u64 = 42;
 const DEFAULT_KILLS: usize = 100;
-const STEADY: Duration = Duration::from_secs(60);
-/// Time for the gossip of the start to die down before the steady traffic is measured.
-const WARM_UP: Duration = Duration::from_secs(60);
-/// Time in which a change has certainly reached all nodes.
-const SETTLE: Duration = Duration::from_secs(10);
+const STEADY_DURATION: Duration = Duration::from_secs(60);
+/// Time for the startup gossip to end before the steady-state traffic is measured.
+const WARM_UP_DURATION: Duration = Duration::from_secs(60);
+/// Time within which a change has certainly reached all nodes.
+const SPREAD_LIMIT: Duration = Duration::from_secs(10);
 const FORMATION_LIMIT: Duration = Duration::from_secs(60);
 
-/// Times from a change until the last node of a group knew of it.
+/// Times from a change until the last node of a group reported it.
 #[derive(Default)]
 struct Spread {
     in_zone: Vec<Duration>,
@@ -55,19 +57,19 @@
     let mut cluster = Cluster::start(zones, nodes_per_zone, RANDOM_SEED);
     let formed = form(&mut cluster);
     cluster.network.set_faults(NetworkFaults { loss, ..NetworkFaults::default() });
-    cluster.run_for(WARM_UP);
+    cluster.run_for(WARM_UP_DURATION);
     let before = totals(&cluster);
     let wall = Instant::now();
-    cluster.run_for(STEADY);
+    cluster.run_for(STEADY_DURATION);
     let nodes = cluster.all().len();
-    let node_seconds = nodes as f64 * STEADY.as_secs_f64();
+    let node_seconds = nodes as f64 * STEADY_DURATION.as_secs_f64();
     let cpu = wall.elapsed().as_secs_f64() * 1e3 / node_seconds;
     let sent = differences(&before, &totals(&cluster));
     let mean_bytes = sent.iter().map(|sent| sent.bytes_sent).sum::<u64>() as f64 / node_seconds;
-    let max_bytes = sent.iter().map(|sent| sent.bytes_sent).max().unwrap_or(0) as f64 / STEADY.as_secs_f64();
+    let max_bytes = sent.iter().map(|sent| sent.bytes_sent).max().unwrap_or(0) as f64 / STEADY_DURATION.as_secs_f64();
     let messages = sent.iter().map(|sent| sent.messages_sent).sum::<u64>() as f64 / node_seconds;
     let state = state_kilobytes(cluster.node(0).view());
-    let leaves = departures(&mut cluster, kills);
+    let departures_spread = departures(&mut cluster, kills);
     let start = cluster.now;
     let bytes_before = cluster.bytes_sent;
     let deaths = deaths(&mut cluster, kills);
@@ -75,19 +77,19 @@
     println!(
         "| {nodes} | {zones} | {:.1} | {} | {} | {} / {} | {} | {mean_bytes:.0} / {max_bytes:.0} | {messages:.1} | {churn:.0} | {cpu:.3} | {state:.0} |",
         formed.as_secs_f64(),
-        three(&deaths.in_zone),
-        three(&deaths.everywhere),
-        percentile(&leaves.in_zone, 0.5),
-        percentile(&leaves.in_zone, 1.0),
-        percentile(&leaves.everywhere, 1.0),
+        percentiles(&deaths.in_zone),
+        percentiles(&deaths.everywhere),
+        percentile(&departures_spread.in_zone, 0.5),
+        percentile(&departures_spread.in_zone, 1.0),
+        percentile(&departures_spread.everywhere, 1.0),
     );
 }
 
-/// Lets all nodes find each other; looks every half second.
+/// Runs until all nodes have converged, checking every half second, and returns the elapsed time.
 fn form(cluster: &mut Cluster) -> Duration {
     let start = cluster.now;
     while !cluster.has_converged() {
-        assert!(cluster.now.since(start) < FORMATION_LIMIT, "the nodes don't agree");
+        assert!(cluster.now.since(start) < FORMATION_LIMIT, "the nodes did not converge");
         cluster.run_for(Duration::from_millis(500));
     }
     cluster.now.since(start)
@@ -100,23 +102,23 @@
         cluster.run_for(Duration::from_micros(7_919 * kill as u64));
         let since = cluster.now;
         cluster.kill(victim);
-        cluster.run_for(SETTLE);
-        note(cluster, &mut spread, victim, member, MemberState::Dead, since);
+        cluster.run_for(SPREAD_LIMIT);
+        record_spread(cluster, &mut spread, victim, member, MemberState::Dead, since);
         cluster.restart(victim);
         form(cluster);
     }
     spread
 }
 
-/// Departures of nodes that are then replaced by a new process.
+/// Measures departures of nodes, each of which is then replaced by a new process.
 fn departures(cluster: &mut Cluster, count: usize) -> Spread {
     let mut spread = Spread::default();
     for departure in 0..count {
         let (victim, member) = choose(cluster, departure);
         let since = cluster.now;
         cluster.call(victim, Membership::leave);
-        cluster.run_for(SETTLE);
-        note(cluster, &mut spread, victim, member, MemberState::Leaving, since);
+        cluster.run_for(SPREAD_LIMIT);
+        record_spread(cluster, &mut spread, victim, member, MemberState::Leaving, since);
         cluster.restart(victim);
         form(cluster);
     }
@@ -128,31 +130,34 @@
     (index, cluster.member(index))
 }
 
-/// Notes when the last node of the zone, and of all, reported the state; a node that never did counts as `SETTLE`.
-fn note(
+/// Records when the last node of the zone, and of all zones, reported the state; a node that never did counts as
+/// `SPREAD_LIMIT`.
+fn record_spread(
     cluster: &mut Cluster,
     spread: &mut Spread,
     subject: NodeIndex,
     member: Member,
-    wanted: MemberState,
+    expected: MemberState,
     since: Timestamp,
 ) {
     let zone = cluster.zone(subject).clone();
     let observers: Vec<NodeIndex> = cluster.all().filter(|index| *index != subject).collect();
     let first_reports = |index: &NodeIndex| {
         let own = cluster.reports.iter().filter(|report| report.reporter == *index);
-        own.filter(|report| is_state(&report.event, member, wanted)).map(|report| report.at.since(since)).next()
+        own.filter(|report| is_state(&report.event, member, expected)).map(|report| report.at.since(since)).next()
     };
-    let times: Vec<(ZoneName, Duration)> =
-        observers.iter().map(|index| (cluster.zone(*index).clone(), first_reports(index).unwrap_or(SETTLE))).collect();
+    let times: Vec<(ZoneName, Duration)> = observers
+        .iter()
+        .map(|index| (cluster.zone(*index).clone(), first_reports(index).unwrap_or(SPREAD_LIMIT)))
+        .collect();
     let latest = |times: &mut dyn Iterator<Item = &(ZoneName, Duration)>| times.map(|(_, time)| *time).max();
     spread.in_zone.extend(latest(&mut times.iter().filter(|(of, _)| *of == zone)));
     spread.everywhere.extend(latest(&mut times.iter()));
     cluster.reports.clear();
 }
 
-fn is_state(event: &MembershipEvent, subject: Member, wanted: MemberState) -> bool {
-    matches!(event, MembershipEvent::MemberChanged { member, state, .. } if *member == subject && *state == wanted)
+fn is_state(event: &MembershipEvent, subject: Member, expected: MemberState) -> bool {
+    matches!(event, MembershipEvent::MemberChanged { member, state, .. } if *member == subject && *state == expected)
 }
 
 fn totals(cluster: &Cluster) -> Vec<MembershipCounters> {
@@ -170,7 +175,7 @@
         .collect()
 }
 
-/// An estimate: the records with their zone names, and the roster's lists of members.
+/// Estimates the state's size: the records with their zone names, and the roster's lists of members.
 fn state_kilobytes(view: &View) -> f64 {
     let records: usize = view
         .records()
@@ -179,7 +184,7 @@
     records as f64 / 1e3
 }
 
-fn three(times: &[Duration]) -> String {
+fn percentiles(times: &[Duration]) -> String {
     format!("{} / {} / {}", percentile(times, 0.5), percentile(times, 0.99), percentile(times, 1.0))
 }
 
--- a/crates/core/src/membership/config.rs
+++ b/crates/core/src/membership/config.rs
@@ -1,11 +1,11 @@
-//! Settings of the failure detector, with the inequality that makes a node suspend itself before others declare it dead.
+//! Settings of the failure detector, and the inequality by which a node suspends itself before others declare it dead.
 
 use std::time::Duration;
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// Settings of the failure detector. All nodes of a deployment must have the same.
+/// Settings of the failure detector. All nodes of a deployment must use the same values.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipConfig {
@@ -13,62 +13,67 @@
     /// doubles the steady traffic.
     #[serde(with = "humantime_serde")]
     pub probe_interval: Duration,
-    /// Time for a direct answer to a probe. Above the round trip inside a zone and a busy machine's scheduling delay.
+    /// Time limit for a direct answer to a probe. Must exceed the round-trip time inside a zone plus the scheduling
+    /// delay of a busy machine.
     #[serde(with = "humantime_serde")]
     pub ping_timeout: Duration,
-    /// Further time for an answer by way of relays, before the target is suspected.
+    /// Additional time for an answer through relays, after which the target is suspected.
     #[serde(with = "humantime_serde")]
     pub indirect_timeout: Duration,
-    /// Members of the own zone that are asked to relay a probe that was not answered; one member of another zone is
-    /// asked besides, so that a cut between two zone mates alone raises no suspicion.
+    /// Members of the own zone that are asked to relay an unanswered probe. One member of another zone is asked as
+    /// well, so that a link failure between two zone mates alone raises no suspicion.
     pub relays: usize,
-    /// Time from suspicion to death in which the suspect may refute. The shortest time in which a node that is cut off
-    /// can be declared dead.
+    /// Time from suspicion to death, during which the suspect may refute the suspicion. It is the shortest time in
+    /// which an isolated node can be declared dead.
     #[serde(with = "humantime_serde")]
     pub suspicion_timeout: Duration,
-    /// How long an acknowledgement lets a node trust that it has not been declared dead, counted from the moment at
-    /// which the acknowledged message was sent. Must span several probes, so that a few lost messages don't suspend.
+    /// How long an acknowledgement lets a node trust that it has not been declared dead, counted from the time at
+    /// which the acknowledged message was sent. Must span several probes, so that a few lost messages don't suspend
+    /// the node.
     #[serde(with = "humantime_serde")]
     pub lease: Duration,
-    /// The time within which a change reaches all connected members of a zone; `docs/MEMBERSHIP.md` has it measured.
+    /// The time within which a change reaches all connected members of a zone; `docs/MEMBERSHIP.md` gives the measured
+    /// times.
     #[serde(with = "humantime_serde")]
     pub spread_time: Duration,
-    /// Time between two rounds of gossip while there is something to spread.
+    /// Time between two gossip rounds while changes are pending.
     #[serde(with = "humantime_serde")]
     pub gossip_interval: Duration,
-    /// Members of the own zone that get the gossip of one round.
+    /// Members of the own zone that receive gossip in one round.
     pub gossip_fanout: usize,
-    /// Zones whose delegate gets the gossip of one round, when this node is a delegate.
+    /// Zones whose delegate receives gossip in one round when this node is a delegate.
     pub zone_fanout: usize,
-    /// Each node sends a change at most this often times the logarithm of the zone's size. Bounds the traffic of one
-    /// change; what is missed all the same is found by comparing digests.
+    /// Each node sends a change at most this many times the logarithm of the zone's size. Bounds the traffic of one
+    /// change; missed changes are detected by comparing digests.
     pub retransmission_factor: u32,
-    /// The most records in one message; 24 of 40 bytes stay below the 1,200 bytes that pass every network unfragmented.
+    /// Maximum number of records in one message: 24 records of 40 bytes stay below the 1,200 bytes that every network
+    /// passes unfragmented.
     pub records_per_message: usize,
-    /// The most records on the back of a probe or of its answer.
+    /// Maximum number of records piggybacked on a probe or on its answer.
     pub records_per_probe: usize,
     /// Time between two attempts to join.
     #[serde(with = "humantime_serde")]
     pub join_interval: Duration,
-    /// Nodes that are asked in one attempt to join.
+    /// Nodes contacted in one attempt to join.
     pub join_fanout: usize,
-    /// Time between two probes of an address that is believed dead, to find the other side when a partition has healed.
+    /// Time between two probes of addresses whose members are considered dead, so that both sides of a healed partition
+    /// find each other.
     #[serde(with = "humantime_serde")]
     pub reconnect_interval: Duration,
-    /// The shortest time between two requests for the records that differ. Bounds the traffic when many change.
+    /// Minimum time between two requests for differing records. Bounds the traffic when many records change.
     #[serde(with = "humantime_serde")]
     pub sync_interval: Duration,
-    /// How long a digest may differ before records are requested: gossip gets that long to settle it.
+    /// How long a digest may differ before records are requested, which gives gossip time to resolve the difference.
     #[serde(with = "humantime_serde")]
     pub sync_patience: Duration,
-    /// Time between two probes of other zones, one zone at a time, by each delegate.
+    /// Time between two probes of other zones by each delegate; each probe goes to one zone.
     #[serde(with = "humantime_serde")]
     pub zone_probe_interval: Duration,
-    /// A zone from which a delegate has had no answer for this long is unreachable for it. Several rounds over all
-    /// zones, so that a lost probe doesn't matter.
+    /// A delegate considers a zone unreachable when it has received no answer from it for this long. Must span several
+    /// rounds over all zones, so that a lost probe has no effect.
     #[serde(with = "humantime_serde")]
     pub zone_timeout: Duration,
-    /// How long a dead member is remembered, so that an old message can't bring it back.
+    /// How long a dead member's record is kept, so that an old message can't make it a member again.
     #[serde(with = "humantime_serde")]
     pub tombstone_retention: Duration,
 }
@@ -101,7 +106,7 @@
     }
 }
 
-/// Why settings of the failure detector are refused.
+/// Why settings of the failure detector are rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipConfigError {
     /// lease {lease:?} and margin {margin:?} must be shorter than suspicion_timeout {suspicion_timeout:?}
@@ -110,14 +115,14 @@
         lease: Duration,
         /// See [`MembershipConfig::lease_margin`].
         margin: Duration,
-        /// The shortest time in which a node that is cut off can be declared dead.
+        /// The shortest time in which an isolated node can be declared dead.
         suspicion_timeout: Duration,
     },
     /// lease {lease:?} must span at least {minimum:?}: two probes, and the time of a probe that fails
     LeaseTooShort {
         /// The lease.
         lease: Duration,
-        /// The shortest allowed.
+        /// The shortest allowed lease.
         minimum: Duration,
     },
     /// {field} must not be zero
@@ -129,17 +134,17 @@
     TooLarge {
         /// The setting.
         field: &'static str,
-        /// The largest allowed.
+        /// The largest allowed value.
         maximum: usize,
     },
 }
 
 impl MembershipConfig {
-    /// What the lease must fall short of the suspicion timeout by.
+    /// The minimum difference between the suspicion timeout and the lease.
     ///
-    /// A peer that has not yet heard of a suspicion may renew the suspect's lease for one spread time after it began.
-    /// A refutation travels to a peer within one ping timeout and on to the one who suspects within another spread
-    /// time. So a node that is cut off has either refuted in time or suspended itself, when the suspicion ends.
+    /// A peer that has not yet learned of a suspicion may renew the suspect's lease for one spread time after the
+    /// suspicion began. A refutation reaches a peer within one ping timeout and the suspecting node within another
+    /// spread time. So when the suspicion expires, an isolated node has either refuted it or suspended itself.
     pub fn lease_margin(&self) -> Duration {
         2 * self.spread_time + self.ping_timeout
     }
@@ -147,7 +152,7 @@
     /// Checks the settings.
     ///
     /// # Errors
-    /// The first rule that is broken.
+    /// The first rule that the settings violate.
     pub fn validate(&self) -> Result<(), MembershipConfigError> {
         self.check_not_zero()?;
         self.check_list_sizes()?;
@@ -188,7 +193,7 @@
         }
     }
 
-    /// A message counts its records in one byte, and a probe carries the target's own record besides.
+    /// A message encodes its number of records in one byte, and a probe carries the target's own record in addition.
     fn check_list_sizes(&self) -> Result<(), MembershipConfigError> {
         let maximum = usize::from(u8::MAX) - 1;
         let fields = [("records_per_message", self.records_per_message), ("records_per_probe", self.records_per_probe)];
--- a/crates/core/src/membership/detector.rs
+++ b/crates/core/src/membership/detector.rs
@@ -8,7 +8,7 @@
 use super::gossip::GossipQueue;
 use super::member::{Incarnation, Member};
 use super::message::MembershipMessage;
-use super::probe::OpenQuestions;
+use super::probe::PendingRequests;
 use super::reach::ZoneReach;
 use super::ready::{MembershipCounters, MembershipEvent, Ready};
 use super::record::{Liveness, MemberRecord};
@@ -19,16 +19,17 @@
 use crate::time::Timestamp;
 use crate::world::{Address, ZoneName};
 
-/// A suspicion of a zone mate that hasn't been refuted yet.
+/// An unrefuted suspicion of a zone mate.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Suspicion {
     pub(super) member: Member,
     pub(super) deadline: Timestamp,
-    /// Set when the deadline was noticed late: messages that waited meanwhile are read first, once.
+    /// Set when the expiry was processed late. The deadline is then extended once, so that messages that queued up in
+    /// the meantime are handled first.
     pub(super) postponed: bool,
 }
 
-/// A peer whose digest differed. It is asked once more, after gossip has had time to settle the difference.
+/// A peer whose digest differed. It is asked once more after gossip has had time to resolve the difference.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Recheck {
     pub(super) peer: Address,
@@ -38,12 +39,12 @@
 
 /// The failure detector of one node.
 ///
-/// The caller hands in messages ([`Membership::step`]) and the passing of time ([`Membership::tick`], at the latest at
-/// [`Membership::next_tick`]), and after each call carries out what [`Membership::take_ready`] returns. When the
-/// standing is one that [`Standing::must_rejoin`], the caller drops what it owned and calls [`Membership::rejoin`].
+/// The caller passes in messages ([`Membership::step`]) and the current time ([`Membership::tick`], at the latest at
+/// [`Membership::next_tick`]), and after each call processes what [`Membership::take_ready`] returns. When
+/// [`Standing::must_rejoin`] holds, the caller gives up what it owned and calls [`Membership::rejoin`].
 ///
-/// Invariant: a node that is cut off from all peers suspends itself before any of them declares it dead; see
-/// [`MembershipConfig::lease_margin`] for why.
+/// Invariant: a node that is isolated from all peers suspends itself before any of them declares it dead; see
+/// [`MembershipConfig::lease_margin`] for the reason.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) config: MembershipConfig,
@@ -56,12 +57,12 @@
     pub(super) roster_is_stale: bool,
     pub(super) standing: Standing,
     pub(super) lease: Lease,
-    /// Whether any peer has ever acknowledged this process; before that, the seeds count as peers.
+    /// Whether any peer has acknowledged a message of this process; until then the seeds count as peers.
     pub(super) had_contact: bool,
     pub(super) highest_incarnation: Incarnation,
-    /// Nodes that have called this one while it was joining: it may join through them.
-    pub(super) callers: BTreeSet<Address>,
-    pub(super) questions: OpenQuestions,
+    /// Nodes that contacted this one while it was joining; it may join through them.
+    pub(super) inbound_contacts: BTreeSet<Address>,
+    pub(super) pending_requests: PendingRequests,
     pub(super) zone_gossip: GossipQueue,
     pub(super) region_gossip: GossipQueue,
     pub(super) suspicions: BTreeMap<Address, Suspicion>,
@@ -75,11 +76,12 @@
 }
 
 impl Membership {
-    /// The failure detector of `me`, a process that starts at `now`. Without seeds other than itself it is trusted at
-    /// once; otherwise it joins by the first seed that answers. `random_seed` makes its random choices repeatable.
+    /// Creates the failure detector of `me`, a process that starts at `now`. Without seeds other than itself it is
+    /// trusted at once; otherwise it joins through the first seed that answers. `random_seed` makes its random choices
+    /// reproducible.
     ///
     /// # Errors
-    /// When the configuration is invalid.
+    /// Fails when the configuration is invalid.
     pub fn new(
         config: MembershipConfig,
         me: Member,
@@ -102,8 +104,8 @@
             lease: Lease::new(config.lease, now),
             had_contact: false,
             highest_incarnation: me.incarnation,
-            callers: BTreeSet::new(),
-            questions: OpenQuestions::default(),
+            inbound_contacts: BTreeSet::new(),
+            pending_requests: PendingRequests::default(),
             zone_gossip: GossipQueue::default(),
             region_gossip: GossipQueue::default(),
             suspicions: BTreeMap::new(),
@@ -116,46 +118,46 @@
             counters: MembershipCounters::default(),
             config,
         };
-        membership.begin_life(false, now);
+        membership.begin_incarnation(false, now);
         Ok(membership)
     }
 
-    /// Handles a message that arrived from `from`.
+    /// Handles a message received from `from`.
     pub fn step(&mut self, from: Address, message: MembershipMessage, now: Timestamp) {
         self.counters.messages_received += 1;
         self.counters.bytes_received += message.encoded_bytes();
-        self.observe(now);
+        self.check_lease(now);
         if from != self.me.address && !self.standing.must_rejoin() {
             self.receive(from, message, now);
         }
-        self.settle(now);
+        self.refresh_derived(now);
     }
 
-    /// Does what is due at `now`.
+    /// Runs the timers that are due at `now`.
     pub fn tick(&mut self, now: Timestamp) {
-        self.observe(now);
+        self.check_lease(now);
         if !self.standing.must_rejoin() {
             self.run_timers(now);
         }
-        self.settle(now);
+        self.refresh_derived(now);
     }
 
-    /// When [`Membership::tick`] has to be called at the latest; `None` while only a rejoin helps.
+    /// The latest time at which [`Membership::tick`] must be called; `None` while the node must rejoin.
     pub fn next_tick(&self) -> Option<Timestamp> {
         (!self.standing.must_rejoin()).then(|| self.next_timer())
     }
 
-    /// Takes what there is to send and to report.
+    /// Takes the pending messages and events.
     pub fn take_ready(&mut self) -> Ready {
         std::mem::take(&mut self.ready)
     }
 
-    /// All members that this node knows, itself included.
+    /// All members known to this node, itself included.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// This node in its present life.
+    /// This node with its current incarnation.
     pub fn me(&self) -> Member {
         self.me
     }
@@ -165,34 +167,34 @@
         self.standing
     }
 
-    /// Until when this node may take new work if it hears nothing more; `None` while it is suspended. A thread that
-    /// may have been paused compares this with its own clock.
+    /// The time until which this node may take new work if it receives nothing more; `None` while it is suspended. A
+    /// thread that may have been paused compares this with its own clock.
     pub fn trusted_until(&self) -> Option<Timestamp> {
-        (self.standing == Standing::Trusted).then(|| self.lease.until())
+        (self.standing == Standing::Trusted).then(|| self.lease.expires_at())
     }
 
-    /// Whether this node is one of those that speak for its zone to other zones.
+    /// Whether this node is one of the delegates that represent its zone to other zones.
     pub fn is_delegate(&self) -> bool {
         self.roster.is_delegate
     }
 
-    /// Counts since the process began.
+    /// Counters since the process started.
     pub fn counters(&self) -> MembershipCounters {
         self.counters
     }
 
-    /// Announces that this node is about to stop. It remains a member, and trusted, until it stops answering.
+    /// Announces that this node is about to stop. It remains a trusted member until it stops answering.
     pub fn leave(&mut self, now: Timestamp) {
         if self.own_record().leaving {
             return;
         }
         self.update_own_record(|record| record.leaving = true, now);
         self.timers.gossip = now;
-        self.settle(now);
+        self.refresh_derived(now);
     }
 
-    /// Marks the members at these addresses as leaving, as the platform's list says. The list lags: an address that is
-    /// absent from it changes nothing.
+    /// Marks the members at these addresses as leaving, according to the platform's list. The list lags behind, so an
+    /// address that is absent from it changes nothing.
     pub fn hint_leaving(&mut self, addresses: &[Address], now: Timestamp) {
         for address in addresses {
             if *address == self.me.address {
@@ -205,25 +207,26 @@
                 self.learn(&record, now);
             }
         }
-        self.settle(now);
+        self.refresh_derived(now);
     }
 
-    /// Begins a new life after this node has been suspended, and returns it. Its incarnation is `wanted`, or a higher
-    /// one where a life as high is known. Without effect while the node is trusted or joining.
-    pub fn rejoin(&mut self, wanted: Incarnation, now: Timestamp) -> Member {
+    /// Starts a new incarnation after this node has been suspended, and returns it. The incarnation is `proposed`, or a
+    /// higher one if one at least as high is already known at this address. Has no effect while the node is trusted or
+    /// joining.
+    pub fn rejoin(&mut self, proposed: Incarnation, now: Timestamp) -> Member {
         if !self.standing.must_rejoin() {
             return self.me;
         }
         let leaving = self.own_record().leaving;
         let next = Incarnation(self.highest_incarnation.0.saturating_add(1));
-        self.me.incarnation = wanted.max(next);
+        self.me.incarnation = proposed.max(next);
         self.highest_incarnation = self.me.incarnation;
-        self.begin_life(leaving, now);
+        self.begin_incarnation(leaving, now);
         self.me
     }
 
-    fn begin_life(&mut self, leaving: bool, now: Timestamp) {
-        self.questions.clear();
+    fn begin_incarnation(&mut self, leaving: bool, now: Timestamp) {
+        self.pending_requests.clear();
         self.zone_gossip.clear();
         self.region_gossip.clear();
         self.recheck = None;
@@ -235,16 +238,16 @@
         self.lease.restart(now);
         self.set_standing(Standing::Suspended { reason: SuspensionReason::Joining });
         self.roster_is_stale = true;
-        self.settle(now);
+        self.refresh_derived(now);
         if !self.has_peers() {
             self.begin_membership(now);
         }
     }
 
-    /// Becomes a member. Others hear of this life from now on only, so none can have suspected it before.
+    /// Becomes a member. Others learn of this incarnation only from now on, so none can have suspected it before.
     pub(super) fn begin_membership(&mut self, now: Timestamp) {
         self.lease.restart(now);
-        self.callers.clear();
+        self.inbound_contacts.clear();
         self.set_standing(Standing::Trusted);
         for suspicion in self.suspicions.values_mut() {
             suspicion.deadline = now + self.config.suspicion_timeout;
@@ -262,8 +265,8 @@
         }
     }
 
-    /// A node may be declared dead only by peers that it knows of, or that know of it: before the first contact those
-    /// are its seeds. Peers that are leaving take nothing over.
+    /// Whether there are peers that may declare this node dead. Only peers that know this node, or that it knows, may
+    /// do so; before the first contact these are its seeds. Leaving peers don't count, as they take nothing over.
     pub(super) fn has_peers(&self) -> bool {
         self.roster.has_live_peer || (!self.had_contact && !self.seeds.is_empty())
     }
@@ -273,7 +276,7 @@
         known.cloned().unwrap_or_else(|| MemberRecord::alive(self.me, self.zone.clone()))
     }
 
-    fn observe(&mut self, now: Timestamp) {
+    fn check_lease(&mut self, now: Timestamp) {
         if self.standing != Standing::Trusted {
             return;
         }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Which changes are still to be spread, and how often each has been sent.
+//! The changes that are still to be gossiped, and how often each has been sent.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 use super::view::View;
 use crate::world::Address;
 
-/// Changes that wait to be sent. Only the address is kept: what is sent is the record as it is by then.
+/// Queued changes. Only addresses are stored; the record sent is the current one at the time of sending.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GossipQueue {
     transmissions: BTreeMap<Address, u32>,
 }
 
 impl GossipQueue {
-    /// Queues the record of an address, or starts to count its transmissions anew.
+    /// Queues the record of an address, or resets its transmission count.
     pub(super) fn push(&mut self, address: Address) {
         self.transmissions.insert(address, 0);
     }
@@ -26,8 +26,8 @@
         self.transmissions.clear();
     }
 
-    /// At most `count` records for one message, members that are leaving first, then those sent least. A record that
-    /// has been taken `limit` times is spread no further.
+    /// Takes at most `count` records for one message: leaving members first, then those sent least often. A record that
+    /// has been taken `limit` times is removed from the queue.
     pub(super) fn take(&mut self, view: &View, count: usize, limit: u32) -> Vec<MemberRecord> {
         let mut queued: Vec<(bool, u32, &MemberRecord)> = self
             .transmissions
--- a/crates/core/src/membership/learn.rs
+++ b/crates/core/src/membership/learn.rs
@@ -1,4 +1,4 @@
-//! Taking in what is said of members, this node included.
+//! Applying received records of members, this node included.
 
 use super::detector::{Membership, Suspicion};
 use super::ready::MembershipEvent;
@@ -9,7 +9,7 @@
 use crate::world::Address;
 
 impl Membership {
-    /// Takes in a record from another node, or one that this node has made of another.
+    /// Applies a record that was received from another node, or that this node created for another member.
     pub(super) fn learn(&mut self, record: &MemberRecord, now: Timestamp) {
         if record.member.address == self.me.address {
             self.learn_of_self(record, now);
@@ -21,7 +21,7 @@
         }
     }
 
-    /// What others say of this node: a suspicion is refuted, a death or a later life ends this one.
+    /// Applies a record of this node: it refutes a suspicion, and suspends itself on a death or a later incarnation.
     fn learn_of_self(&mut self, record: &MemberRecord, now: Timestamp) {
         self.highest_incarnation = self.highest_incarnation.max(record.member.incarnation);
         if record.member.incarnation > self.me.incarnation {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Changes what this node says of itself, and spreads it.
+    /// Changes this node's own record under a new revision, and gossips it.
     pub(super) fn update_own_record(&mut self, change: impl FnOnce(&mut MemberRecord), now: Timestamp) {
         let before = self.view.record(self.me.address).cloned();
         let mut record = self.own_record();
@@ -57,8 +57,8 @@
     fn learn_of_other(&mut self, record: &MemberRecord, now: Timestamp) {
         let address = record.member.address;
         let before = self.view.record(address).cloned();
-        let is_news = before.is_some() || record.liveness != Liveness::Dead;
-        if is_news && self.view.merge(record) {
+        let is_relevant = before.is_some() || record.liveness != Liveness::Dead;
+        if is_relevant && self.view.merge(record) {
             self.after_change(address, before, now);
         }
     }
@@ -84,7 +84,7 @@
         self.ready.events.push(MembershipEvent::MemberChanged { member, zone, state });
     }
 
-    /// Invariant: there is a suspicion with a deadline exactly for each zone mate whose record is suspect.
+    /// Invariant: there is exactly one suspicion with a deadline for each zone mate whose record is suspect.
     fn track_suspicion(&mut self, address: Address, now: Timestamp) {
         let Some(record) = self.view.record(address) else { return };
         let member = record.member;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Suspicions and refutations stay in the zone whose member they concern.
+    /// Queues a change for gossip. Suspicions and refutations stay within the zone of the member that they concern.
     fn spread(&mut self, address: Address, before: Option<&MemberRecord>, now: Timestamp) {
         let Some(record) = self.view.record(address) else { return };
         let is_zone_mate = record.zone == self.zone;
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Derives from the view what depends on it, if it has changed.
-    pub(super) fn settle(&mut self, now: Timestamp) {
+    /// Recomputes the state derived from the view if the view has changed.
+    pub(super) fn refresh_derived(&mut self, now: Timestamp) {
         if !self.roster_is_stale {
             return;
         }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! Who is a member.
+//! Identity of a member.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
 
 use crate::world::Address;
 
-/// Distinguishes the lives of a process at one address: a restarted process has a higher one and owns nothing of the
-/// old life. Microseconds of wall-clock time at the start of the process.
+/// Distinguishes successive processes at one address: a restarted process has a higher incarnation and owns nothing of
+/// the previous one. Microseconds of wall-clock time at the start of the process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// One life of one node.
+/// One incarnation of one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct Member {
     /// Where the node listens for its peers.
     pub address: Address,
-    /// Which life of the process at the address.
+    /// The incarnation of the process at the address.
     pub incarnation: Incarnation,
 }
 
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! What the failure detectors of two nodes say to each other.
+//! Messages between the failure detectors of two nodes.
 
 use speedy::{LittleEndian, Readable, Writable};
 
@@ -6,11 +6,11 @@
 use super::record::MemberRecord;
 use crate::world::ZoneName;
 
-/// Matches an answer to what was asked; unique among the open questions of one process.
+/// Matches an answer to its request; unique among the pending requests of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct Sequence(pub u32);
 
-/// Condenses the records of live members, of one zone or of all; equal digests mean equal records.
+/// A hash over the records of the live members of one zone or of all zones; equal digests mean equal records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Digest(pub u64);
 
@@ -23,31 +23,31 @@
     pub digest: Digest,
 }
 
-/// A message between two failure detectors. It is small enough for one datagram, and may be lost, doubled or reordered.
+/// A message between two failure detectors. It fits in one datagram and may be lost, duplicated or reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MembershipMessage {
-    /// Which life of the process at the sender's address.
+    /// The incarnation of the process at the sender's address.
     pub incarnation: Incarnation,
-    /// Set while the sender has no contact yet and is no member; its acknowledgements then renew no lease.
+    /// Set while the sender has no contact yet and is not a member; its acknowledgements then renew no lease.
     pub joining: bool,
-    /// Condenses all that the sender knows of all members.
+    /// The digest of all members known to the sender.
     pub digest: Digest,
-    /// What is said.
+    /// The content of the message.
     pub body: MessageBody,
-    /// Records on the back of the message; first the receiver's own when the sender holds it suspect or dead.
+    /// Piggybacked records; the receiver's own comes first when the sender considers it suspect or dead.
     #[speedy(length_type = u8)]
     pub records: Vec<MemberRecord>,
 }
 
 impl MembershipMessage {
-    /// The size on the wire, without what the transport adds.
+    /// The encoded size in bytes, without transport headers.
     pub fn encoded_bytes(&self) -> u64 {
         let bytes = Writable::<LittleEndian>::bytes_needed(self);
         bytes.map_or(0, |bytes| u64::try_from(bytes).unwrap_or(u64::MAX))
     }
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum MessageBody {
@@ -56,28 +56,28 @@
         /// Returned in the answer.
         sequence: Sequence,
     },
-    /// Answers a ping, a request to relay, or a request to join.
+    /// Answers a ping, a ping request or a join request.
     Ack {
-        /// As in what is answered.
+        /// The sequence of the answered request.
         sequence: Sequence,
     },
-    /// Asks for an acknowledgement, and that the receiver pings the target in the sender's place.
+    /// Asks for an acknowledgement, and asks the receiver to ping the target on the sender's behalf.
     PingRequest {
         /// Returned in the receiver's own answer.
         sequence: Sequence,
-        /// Returned when the target has answered.
+        /// Returned once the target has answered.
         probe: Sequence,
-        /// Who is to be pinged.
+        /// The member to ping.
         target: Member,
     },
-    /// The target of a request to relay has answered.
+    /// Reports that the target of a ping request has answered.
     RelayedAck {
-        /// As in the request.
+        /// The probe named in the request.
         probe: Sequence,
-        /// Which life of the target has answered.
+        /// The incarnation of the target that answered.
         incarnation: Incarnation,
     },
-    /// Asks to be acknowledged as a new life; the sender is no member before that.
+    /// Asks to be acknowledged as a new incarnation; the sender is not a member before that.
     Join {
         /// Returned in the answer.
         sequence: Sequence,
@@ -86,7 +86,7 @@
     Gossip,
     /// Asks for the records of all zones whose digest differs.
     SyncRequest {
-        /// The sender's digests; a zone that is absent is unknown to the sender.
+        /// The sender's digests; zones unknown to the sender are absent.
         #[speedy(length_type = u8)]
         zones: Vec<ZoneDigest>,
     },
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Membership: which nodes are alive, which are leaving, and whether this node may still count itself among them.
+//! Membership: which nodes are alive, which are leaving, and whether this node may still consider itself a member.
 //!
-//! [`Membership`] is a failure detector in the style of SWIM. `docs/adr/0002-membership.md` tells why, and
-//! `docs/MEMBERSHIP.md` how operators read its states.
+//! [`Membership`] is a failure detector in the style of SWIM. `docs/adr/0002-membership.md` gives the rationale, and
+//! `docs/MEMBERSHIP.md` explains its states to operators.
 
 mod config;
 mod detector;
--- a/crates/core/src/membership/ready.rs
+++ b/crates/core/src/membership/ready.rs
@@ -1,4 +1,4 @@
-//! What the failure detector hands to its caller.
+//! The output of the failure detector to its caller.
 
 use super::member::Member;
 use super::message::MembershipMessage;
@@ -6,10 +6,10 @@
 use super::standing::Standing;
 use crate::world::{Address, ZoneName};
 
-/// Something that has changed.
+/// A change that the failure detector reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A member has entered a state. A life that a later one has replaced is reported dead first.
+    /// A member has entered a state. An incarnation that a later one replaces is reported dead first.
     MemberChanged {
         /// The member.
         member: Member,
@@ -18,12 +18,12 @@
         /// The new state.
         state: MemberState,
     },
-    /// A whole zone can no longer be reached from this node's zone; its members are not declared dead for that.
+    /// A whole zone is no longer reachable from this node's zone; its members are not declared dead because of that.
     ZoneUnreachable {
         /// The zone.
         zone: ZoneName,
     },
-    /// A zone can be reached again.
+    /// A zone is reachable again.
     ZoneReachable {
         /// The zone.
         zone: ZoneName,
@@ -35,7 +35,7 @@
     },
 }
 
-/// A message and where it goes.
+/// A message and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// The receiver.
@@ -44,34 +44,34 @@
     pub message: MembershipMessage,
 }
 
-/// What the caller has to do after it has called the failure detector.
+/// The messages and events that the caller has to process after each call of the failure detector.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
     /// Messages to send, each in one datagram.
     pub messages: Vec<Outgoing>,
-    /// What has changed, oldest first.
+    /// Changes, oldest first.
     pub events: Vec<MembershipEvent>,
 }
 
-/// Counts since the process began.
+/// Counters since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipCounters {
     /// Messages sent.
     pub messages_sent: u64,
-    /// Their bytes, without what the transport adds.
+    /// Bytes sent, without transport headers.
     pub bytes_sent: u64,
     /// Messages received.
     pub messages_received: u64,
-    /// Their bytes, without what the transport adds.
+    /// Bytes received, without transport headers.
     pub bytes_received: u64,
-    /// Probes that neither the target nor a relay answered.
+    /// Probes answered neither by the target nor through a relay.
     pub probes_failed: u64,
     /// Suspicions of this node that it has refuted.
     pub refutations: u64,
     /// Members that this node has declared dead.
     pub deaths_declared: u64,
-    /// Requests for records that differ.
+    /// Requests for differing records.
     pub syncs_requested: u64,
-    /// Times that this node has suspended itself.
+    /// Number of times that this node has suspended itself.
     pub suspensions: u64,
 }
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Handling of messages.
+//! Handling of received messages.
 
 use super::detector::{Membership, Recheck};
 use super::member::Member;
@@ -9,57 +9,59 @@
 use crate::time::Timestamp;
 use crate::world::Address;
 
-/// What the sender of a message is to this node.
+/// Whether the incarnation of a message's sender is current in this node's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sender {
-    /// A life that may be a member.
+enum SenderStatus {
+    /// An incarnation that may be a member.
     Current,
-    /// A life that a later one has replaced, or that has been declared dead.
+    /// An incarnation that a later one has replaced, or that has been declared dead.
     Past,
 }
 
 impl Membership {
     pub(super) fn receive(&mut self, from: Address, message: MembershipMessage, now: Timestamp) {
         let sender = Member { address: from, incarnation: message.incarnation };
-        let standing = self.note_sender(sender, message.joining, now);
-        let is_witness = standing == Sender::Current && !message.joining && !self.is_doubted_in(&message.records);
-        if standing == Sender::Current {
+        let status = self.record_sender(sender, message.joining, now);
+        let may_renew_lease =
+            status == SenderStatus::Current && !message.joining && !self.is_reported_not_alive(&message.records);
+        if status == SenderStatus::Current {
             for record in &message.records {
                 self.learn(record, now);
             }
         } else {
-            self.learn_own_fate(&message.records, now);
+            self.learn_own_records(&message.records, now);
         }
-        self.settle(now);
+        self.refresh_derived(now);
         if self.standing.must_rejoin() {
             return;
         }
         self.correct_suspicions(from, &message.records);
         match message.body {
-            MessageBody::Ping { sequence } => self.answer(sender, standing, sequence, message.digest, now),
-            MessageBody::Join { sequence } => self.acknowledge(sender, standing, sequence),
+            MessageBody::Ping { sequence } => self.answer(sender, status, sequence, message.digest, now),
+            MessageBody::Join { sequence } => self.acknowledge(sender, status, sequence),
             MessageBody::Ack { sequence } => {
-                self.acknowledged(sender, sequence, is_witness, now);
-                self.compare_digest(sender, standing, message.digest, now);
+                self.acknowledged(sender, sequence, may_renew_lease, now);
+                self.compare_digest(sender, status, message.digest, now);
             }
             MessageBody::PingRequest { sequence, probe, target } => {
                 self.send_ack(from, sequence);
                 self.relay(Relay { requester: from, probe, target }, now);
             }
-            MessageBody::RelayedAck { probe, incarnation } => self.questions.close_probe(probe, incarnation),
+            MessageBody::RelayedAck { probe, incarnation } => self.pending_requests.close_probe(probe, incarnation),
             MessageBody::SyncRequest { zones } => self.send_differing(from, &zones),
             MessageBody::Gossip => {}
         }
     }
 
-    /// Takes in which life is running at the sender's address: a process itself is the best witness of that.
-    fn note_sender(&mut self, sender: Member, joining: bool, now: Timestamp) -> Sender {
-        let Some(known) = self.view.record(sender.address) else { return Sender::Current };
+    /// Updates the view with the incarnation that runs at the sender's address, of which the process itself is the most
+    /// reliable source.
+    fn record_sender(&mut self, sender: Member, joining: bool, now: Timestamp) -> SenderStatus {
+        let Some(known) = self.view.record(sender.address) else { return SenderStatus::Current };
         if sender.incarnation < known.member.incarnation {
-            return Sender::Past;
+            return SenderStatus::Past;
         }
         if sender.incarnation == known.member.incarnation {
-            return if known.liveness == Liveness::Dead { Sender::Past } else { Sender::Current };
+            return if known.liveness == Liveness::Dead { SenderStatus::Past } else { SenderStatus::Current };
         }
         if !joining {
             let record = MemberRecord::alive(sender, known.zone.clone());
@@ -68,16 +70,17 @@
             let record = MemberRecord { liveness: Liveness::Dead, ..known.clone() };
             self.learn(&record, now);
         }
-        Sender::Current
+        SenderStatus::Current
     }
 
-    /// Whether the sender holds this life suspect or dead. It then hasn't refuted all suspicions, so an acknowledgement
-    /// from the sender doesn't show that no one is about to declare this node dead, even when it is on its way.
-    fn is_doubted_in(&self, records: &[MemberRecord]) -> bool {
+    /// Whether the sender considers this incarnation suspect or dead. Then some suspicions are not yet refuted, so an
+    /// acknowledgement from the sender doesn't show that no peer is about to declare this node dead, even when the
+    /// refutation is on its way.
+    fn is_reported_not_alive(&self, records: &[MemberRecord]) -> bool {
         records.iter().any(|record| record.member == self.me && record.liveness != Liveness::Alive)
     }
 
-    /// Sends the refutation to a node that still spreads a suspicion that has been refuted.
+    /// Sends the refutation to a node that still gossips a refuted suspicion.
     fn correct_suspicions(&mut self, from: Address, records: &[MemberRecord]) {
         let is_refuted = |known: &MemberRecord, suspicion: &MemberRecord| {
             known.member == suspicion.member && known.revision > suspicion.revision
@@ -93,44 +96,45 @@
         }
     }
 
-    /// Records of a past life are stale, but what they say of this node's own life matters all the same.
-    fn learn_own_fate(&mut self, records: &[MemberRecord], now: Timestamp) {
+    /// Applies only the records of this node's own address. Other records from a past incarnation are stale, but those
+    /// of this node's own incarnation still matter.
+    fn learn_own_records(&mut self, records: &[MemberRecord], now: Timestamp) {
         let own_address = self.me.address;
         for record in records.iter().filter(|record| record.member.address == own_address) {
             self.learn(record, now);
         }
     }
 
-    fn answer(&mut self, sender: Member, standing: Sender, sequence: Sequence, digest: Digest, now: Timestamp) {
-        self.acknowledge(sender, standing, sequence);
-        self.compare_digest(sender, standing, digest, now);
+    fn answer(&mut self, sender: Member, status: SenderStatus, sequence: Sequence, digest: Digest, now: Timestamp) {
+        self.acknowledge(sender, status, sequence);
+        self.compare_digest(sender, status, digest, now);
     }
 
-    /// A past life is told what is known of its address, so that it rejoins.
-    fn acknowledge(&mut self, sender: Member, standing: Sender, sequence: Sequence) {
+    /// Acknowledges a request. A past incarnation is sent the record known at its address, so that it rejoins.
+    fn acknowledge(&mut self, sender: Member, status: SenderStatus, sequence: Sequence) {
         if self.standing != Standing::Trusted {
-            self.callers.insert(sender.address);
+            self.inbound_contacts.insert(sender.address);
         }
-        let known = self.view.record(sender.address).filter(|_| standing == Sender::Past).cloned();
+        let known = self.view.record(sender.address).filter(|_| status == SenderStatus::Past).cloned();
         match known {
             Some(known) => self.send(sender.address, MessageBody::Ack { sequence }, vec![known]),
             None => self.send_ack(sender.address, sequence),
         }
     }
 
-    fn acknowledged(&mut self, sender: Member, sequence: Sequence, is_witness: bool, now: Timestamp) {
-        let Some(sent_at) = self.questions.close(sequence) else { return };
-        self.questions.close_probe(sequence, sender.incarnation);
-        if let Some(relay) = self.questions.close_relay(sequence, sender.incarnation) {
+    fn acknowledged(&mut self, sender: Member, sequence: Sequence, may_renew_lease: bool, now: Timestamp) {
+        let Some(sent_at) = self.pending_requests.close(sequence) else { return };
+        self.pending_requests.close_probe(sequence, sender.incarnation);
+        if let Some(relay) = self.pending_requests.close_relay(sequence, sender.incarnation) {
             self.send_relayed_ack(relay);
         }
         let zone = self.view.record(sender.address).map(|record| record.zone.clone());
         if let Some(zone) = zone {
-            self.reach.heard(&zone, now);
+            self.reach.record_answer(&zone, now);
         }
         self.had_contact = true;
         match self.standing {
-            Standing::Trusted if is_witness => self.lease.renew(sent_at),
+            Standing::Trusted if may_renew_lease => self.lease.renew(sent_at),
             Standing::Suspended { reason: SuspensionReason::Joining } => self.joined_through(sender.address, now),
             _ => {}
         }
@@ -142,14 +146,14 @@
     }
 
     fn relay(&mut self, relay: Relay, now: Timestamp) {
-        let sequence = self.questions.open_relay(relay, now);
+        let sequence = self.pending_requests.open_relay(relay, now);
         self.send_probe(relay.target.address, MessageBody::Ping { sequence });
     }
 
-    /// Asks for records when the digests differ and gossip had time to settle it.
-    fn compare_digest(&mut self, sender: Member, standing: Sender, digest: Digest, now: Timestamp) {
+    /// Requests records when the digests differ and gossip has had time to resolve the difference.
+    fn compare_digest(&mut self, sender: Member, status: SenderStatus, digest: Digest, now: Timestamp) {
         let is_known = self.view.record(sender.address).is_some();
-        if standing == Sender::Past || self.standing != Standing::Trusted {
+        if status == SenderStatus::Past || self.standing != Standing::Trusted {
             return;
         }
         if !is_known {
@@ -193,7 +197,7 @@
                 let their = theirs.iter().find(|their| their.zone == record.zone).map(|their| their.digest);
                 their.is_none() || their != self.roster.zone_digest(&record.zone)
             })
-            .filter(|record| self.may_be_told_to_others(record))
+            .filter(|record| self.may_send_to_others(record))
             .cloned()
             .collect();
         for records in differing.chunks(self.config.records_per_message) {
@@ -201,8 +205,8 @@
         }
     }
 
-    /// A joining node is no member yet, so it speaks of others only.
-    fn may_be_told_to_others(&self, record: &MemberRecord) -> bool {
+    /// A joining node is not a member yet, so it doesn't send its own record.
+    fn may_send_to_others(&self, record: &MemberRecord) -> bool {
         self.standing == Standing::Trusted || record.member.address != self.me.address
     }
 }
--- a/crates/core/src/membership/record.rs
+++ b/crates/core/src/membership/record.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one member, and how two such records are merged.
+//! A node's record of one member, and how two such records are merged.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 use super::member::Member;
 use crate::world::ZoneName;
 
-/// Whether a member answers.
+/// Whether a member responds to probes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub enum Liveness {
-    /// It answers, as far as is known.
+    /// It responds, as far as is known.
     #[default]
     Alive,
-    /// It did not answer a probe and has some time left to refute that.
+    /// It did not answer a probe, and may still refute the suspicion until it expires.
     Suspect,
     /// Its zone has declared it dead. Final for this incarnation.
     Dead,
@@ -22,11 +22,11 @@
 /// The state of a member as others should treat it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It takes work.
+    /// It accepts work.
     Alive,
-    /// It takes work, but did not answer a probe.
+    /// It accepts work, but did not answer a probe.
     Suspect,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its current work and accepts none.
     Leaving,
     /// Its zone has declared it dead; it owns nothing.
     Dead,
@@ -50,36 +50,38 @@
     }
 }
 
-/// What is known of one member.
+/// What a node knows of one member.
 ///
 /// Records of one address form a join-semilattice under [`MemberRecord::merge`]: nodes that have seen the same records
 /// in any order, any number of times, agree.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MemberRecord {
-    /// Which life of which process.
+    /// The member: its address and incarnation.
     pub member: Member,
     /// The zone of its machine.
     pub zone: ZoneName,
-    /// Counts what the member has said of itself in this life; a higher revision refutes a suspicion of a lower one.
+    /// Counts the changes that the member has made to its own record in this incarnation; a higher revision refutes a
+    /// suspicion of a lower one.
     pub revision: u32,
-    /// Whether it answers.
+    /// Whether it responds to probes.
     pub liveness: Liveness,
-    /// Whether it has said, or the platform has hinted, that it is about to stop. Never taken back in one life.
+    /// Whether it has announced, or the platform has hinted, that it is about to stop. Never reset within one
+    /// incarnation.
     pub leaving: bool,
-    /// What the member says of other zones; none unless it is a delegate of its zone.
+    /// The member's report on other zones; `None` unless it is a delegate of its zone.
     pub zone_report: Option<ZoneReport>,
 }
 
-/// What a delegate says of other zones.
+/// A delegate's report on other zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ZoneReport {
-    /// The zones that it can't reach, in the order of their names.
+    /// The zones that it can't reach, ordered by name.
     #[speedy(length_type = u8)]
     pub unreachable: Vec<ZoneName>,
 }
 
 impl MemberRecord {
-    /// A member that has just joined.
+    /// The record of a member that has just joined.
     pub fn alive(member: Member, zone: ZoneName) -> Self {
         MemberRecord { member, zone, revision: 0, liveness: Liveness::Alive, leaving: false, zone_report: None }
     }
@@ -108,17 +110,19 @@
             return true;
         }
         let before = (self.revision, self.liveness, self.leaving);
-        self.merge_same_life(other);
+        self.merge_same_incarnation(other);
         before != (self.revision, self.liveness, self.leaving)
     }
 
-    /// Whether both records are the same in the eyes of other zones, which neither suspect nor refute.
+    /// Whether both records are equivalent for other zones, which don't track suspicions or refutations.
     pub(super) fn is_equal_to_other_zones(&self, other: &MemberRecord) -> bool {
-        let ends = |record: &MemberRecord| (record.leaving, record.liveness == Liveness::Dead);
-        self.member == other.member && ends(self) == ends(other) && self.zone_report == other.zone_report
+        let final_states = |record: &MemberRecord| (record.leaving, record.liveness == Liveness::Dead);
+        self.member == other.member
+            && final_states(self) == final_states(other)
+            && self.zone_report == other.zone_report
     }
 
-    fn merge_same_life(&mut self, other: &MemberRecord) {
+    fn merge_same_incarnation(&mut self, other: &MemberRecord) {
         self.leaving |= other.leaving;
         let dead = self.liveness.max(other.liveness) == Liveness::Dead;
         if other.revision > self.revision {
--- a/crates/core/src/membership/rendezvous.rs
+++ b/crates/core/src/membership/rendezvous.rs
@@ -1,7 +1,8 @@
-//! Rendezvous hashing (highest random weight): which members are first in line for a key.
+//! Rendezvous hashing (highest random weight): ranks members for a key.
 //!
-//! Every node with the same members ranks them alike, and a member that comes or goes moves only the keys that it is
-//! first for. The weight depends on the address and not on the incarnation, so a restarted node regains its place.
+//! All nodes with the same members compute the same ranking, and a member that joins or leaves moves only the keys for
+//! which it ranks first. The weight depends on the address and not on the incarnation, so a restarted node regains its
+//! rank.
 
 use std::net::IpAddr;
 
@@ -13,7 +14,7 @@
 
 const ADDRESS_BYTES: usize = 18;
 
-/// Ranks `items` for `key`, the first in line first. The order in which items are given doesn't matter.
+/// Ranks `items` for `key`, highest weight first. The input order doesn't matter.
 pub fn rank_by_address<Item>(
     key: &[u8],
     items: impl IntoIterator<Item = Item>,
@@ -31,13 +32,13 @@
     ranked.into_iter().map(|(_, _, item)| item).collect()
 }
 
-/// Ranks members for `key`, the first in line first.
+/// Ranks members for `key`, highest weight first.
 pub fn rank_members(key: &[u8], members: impl IntoIterator<Item = Member>) -> Vec<Member> {
     rank_by_address(key, members, |member| member.address)
 }
 
-/// Ranks the members that may own a pool: neither dead nor leaving, in one of the pool's zones, and in a zone that can
-/// be reached. The first is the owner, the next ones its successors.
+/// Ranks the members that may own a pool: neither dead nor leaving, and in one of the pool's zones that is reachable.
+/// The first is the owner, the following ones are its successors.
 pub fn rank_pool_owners(pool: &Pool, view: &View) -> Vec<Member> {
     rank_members(pool.id.to_string().as_bytes(), view.owner_candidates(&pool.zones))
 }
--- a/crates/core/src/membership/roster.rs
+++ b/crates/core/src/membership/roster.rs
@@ -12,16 +12,17 @@
 use super::view::View;
 use crate::world::{Address, ZoneName};
 
-/// Members of a zone that speak for it to other zones.
+/// Number of members that represent a zone to other zones.
 const DELEGATES_PER_ZONE: usize = 2;
 
-/// The ring's order must not follow the addresses: machines that fail together often have neighbouring ones.
+/// Hash seed of the ring order, which must not follow the addresses: machines that fail together often have adjacent
+/// ones.
 const RING_SEED: u64 = 0x72_69_6e_67;
 
-/// What the failure detector derives from a view.
+/// State that the failure detector derives from a view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Roster {
-    /// The other live members of the own zone in the order of the ring, the own successor first.
+    /// The other live members of the own zone in ring order, this node's successor first.
     pub(super) ring: Vec<Member>,
     /// Other zones that have live members.
     pub(super) other_zones: Vec<ZoneName>,
@@ -29,13 +30,13 @@
     pub(super) by_zone: BTreeMap<ZoneName, Vec<Member>>,
     /// Whether this node is a delegate of its zone.
     pub(super) is_delegate: bool,
-    /// Whether there is another member that could take over from this node: live, and not leaving.
+    /// Whether there is another member, alive and not leaving, that could take over from this node.
     pub(super) has_live_peer: bool,
     /// The digest of each zone.
     pub(super) zone_digests: Vec<ZoneDigest>,
     /// The digest of all zones.
     pub(super) digest: Digest,
-    /// Zones that all delegates of the own zone report as unreachable.
+    /// Zones that all reporting delegates of the own zone report as unreachable.
     pub(super) unreachable: BTreeSet<ZoneName>,
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Live members by zone: those that may speak for it first, each group in the order of addresses.
+/// Live members by zone: those eligible as delegates first, each group ordered by address.
 fn live_by_zone(view: &View) -> BTreeMap<ZoneName, Vec<Member>> {
     let mut records: Vec<&MemberRecord> = view.records().filter(|record| record.liveness != Liveness::Dead).collect();
     records.sort_by_key(|record| (record.state() != MemberState::Alive, record.member));
@@ -87,20 +88,21 @@
 }
 
 fn ring_after(members: &[Member], me: Address) -> Vec<Member> {
-    let own_place = (weight(RING_SEED, me), me);
+    let own_position = (weight(RING_SEED, me), me);
     let mut ring: Vec<(bool, u64, Member)> = members
         .iter()
         .filter(|member| member.address != me)
         .map(|member| {
-            let place = weight(RING_SEED, member.address);
-            ((place, member.address) < own_place, place, *member)
+            let position = weight(RING_SEED, member.address);
+            ((position, member.address) < own_position, position, *member)
         })
         .collect();
     ring.sort();
     ring.into_iter().map(|(_, _, member)| member).collect()
 }
 
-/// What all delegates that have reported agree on; while none has, as when all have just changed, what was known.
+/// The zones that all delegates with a report list as unreachable. While no delegate has reported, as when all have
+/// just changed, the previous result is kept.
 fn reported_by_all(view: &View, delegates: &[Member]) -> BTreeSet<ZoneName> {
     let records = delegates.iter().filter_map(|delegate| view.record(delegate.address));
     let mut reports = records
@@ -110,7 +112,8 @@
     reports.fold(first, |all, report| all.intersection(&report).cloned().collect())
 }
 
-/// Digests leave out revisions and suspicions: those are settled inside a zone and don't concern others.
+/// Computes the digest of each zone. Digests leave out revisions and suspicions, which are resolved inside a zone and
+/// don't concern other zones.
 fn zone_digests(view: &View) -> Vec<ZoneDigest> {
     let mut digests: BTreeMap<&ZoneName, u64> = BTreeMap::new();
     for record in view.records().filter(|record| record.liveness != Liveness::Dead) {
--- a/crates/core/src/membership/send.rs
+++ b/crates/core/src/membership/send.rs
@@ -1,4 +1,4 @@
-//! Making of messages.
+//! Construction of outgoing messages.
 
 use super::detector::Membership;
 use super::message::{MembershipMessage, MessageBody, Sequence};
@@ -18,9 +18,9 @@
         self.ready.messages.push(Outgoing { to, message });
     }
 
-    /// Sends a probe or an answer, with some gossip on its back.
+    /// Sends a probe or an answer with piggybacked gossip.
     pub(super) fn send_probe(&mut self, to: Address, body: MessageBody) {
-        let mut records = self.doubts_about(to);
+        let mut records = self.not_alive_record(to);
         let is_zone_mate = self.roster.ring.iter().any(|member| member.address == to);
         if is_zone_mate && self.standing == Standing::Trusted {
             let limit = self.retransmission_limit();
@@ -38,10 +38,10 @@
         self.send_probe(relay.requester, body);
     }
 
-    /// The receiver's own record if it is suspect or dead: the receiver must hear of it before anything else.
-    fn doubts_about(&self, address: Address) -> Vec<MemberRecord> {
-        let doubted = self.view.record(address).filter(|record| record.liveness != Liveness::Alive);
-        doubted.cloned().into_iter().collect()
+    /// The record at `address` if it is suspect or dead; the receiver must learn of it before anything else.
+    fn not_alive_record(&self, address: Address) -> Vec<MemberRecord> {
+        let not_alive = self.view.record(address).filter(|record| record.liveness != Liveness::Alive);
+        not_alive.cloned().into_iter().collect()
     }
 
     pub(super) fn retransmission_limit(&self) -> u32 {
--- a/crates/core/src/membership/standing.rs
+++ b/crates/core/src/membership/standing.rs
@@ -1,22 +1,22 @@
-//! Whether a node may count itself among the members.
+//! Whether a node may consider itself a member.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Why a node must take no new work.
+/// Why a node must not take new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SuspensionReason {
-    /// It has not yet been acknowledged by any peer in this life. The failure detector goes on asking by itself.
+    /// No peer has acknowledged it in this incarnation yet. The failure detector keeps trying to join by itself.
     Joining,
-    /// Its own clock shows a gap of at least a lease: it was paused.
+    /// Its own clock shows a gap of at least the lease time: the process was paused.
     ClockGap,
-    /// No peer has acknowledged it for the lease time: it is cut off.
+    /// No peer has acknowledged it for the lease time: it is isolated.
     LeaseExpired,
-    /// A peer told it that it has been declared dead.
+    /// A peer has reported that it was declared dead.
     DeclaredDead,
-    /// A peer knows a later life at its address.
+    /// A peer knows a later incarnation at its address.
     Superseded,
 }
 
@@ -32,20 +32,20 @@
     }
 }
 
-/// Whether a node may count itself among the members.
+/// Whether a node may consider itself a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Standing {
     /// No peer can have declared it dead yet.
     Trusted,
-    /// It may have been declared dead: it must refuse new work as "not run".
+    /// It may have been declared dead, and must refuse new work as "not run".
     Suspended {
-        /// Why.
+        /// Why the node is suspended.
         reason: SuspensionReason,
     },
 }
 
 impl Standing {
-    /// Whether this life is over, so that the node has to rejoin as a new incarnation.
+    /// Whether this incarnation is over, so that the node has to rejoin with a new one.
     pub fn must_rejoin(self) -> bool {
         !matches!(self, Standing::Trusted | Standing::Suspended { reason: SuspensionReason::Joining })
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// The time for which a node may trust that it has not been declared dead.
+/// The period for which a node may trust that it has not been declared dead.
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
     duration: Duration,
@@ -74,18 +74,18 @@
         Lease { duration, renewed_at: now, last_call: now, required: false }
     }
 
-    /// Starts anew at `now`, as after a gap or before a new life.
+    /// Restarts the lease at `now`, when an incarnation begins or becomes a member.
     pub(super) fn restart(&mut self, now: Timestamp) {
         self.renewed_at = now;
         self.last_call = now;
     }
 
-    /// A message that was sent at `sent_at` has been acknowledged.
+    /// Renews the lease after an acknowledgement of a message that was sent at `sent_at`.
     pub(super) fn renew(&mut self, sent_at: Timestamp) {
         self.renewed_at = self.renewed_at.max(sent_at);
     }
 
-    /// Without peers no one can declare this node dead, and no lease is required.
+    /// Sets whether a lease is required. Without peers no node can declare this one dead, and no lease is required.
     pub(super) fn require(&mut self, required: bool, now: Timestamp) {
         if required && !self.required {
             self.renew(now);
@@ -93,12 +93,12 @@
         self.required = required;
     }
 
-    /// Until when the node may trust; the end of time when no lease is required.
-    pub(super) fn until(&self) -> Timestamp {
+    /// The time at which the lease expires; the maximum timestamp when no lease is required.
+    pub(super) fn expires_at(&self) -> Timestamp {
         if self.required { self.renewed_at + self.duration } else { Timestamp::from_micros(u64::MAX) }
     }
 
-    /// Notes that the process runs at `now`; tells why it may no longer trust.
+    /// Records that the process runs at `now`; returns the reason if the node may no longer trust its membership.
     pub(super) fn observe(&mut self, now: Timestamp) -> Option<SuspensionReason> {
         let gap = now.since(self.last_call);
         self.last_call = self.last_call.max(now);
@@ -108,6 +108,6 @@
         if gap >= self.duration {
             return Some(SuspensionReason::ClockGap);
         }
-        (now >= self.until()).then_some(SuspensionReason::LeaseExpired)
+        (now >= self.expires_at()).then_some(SuspensionReason::LeaseExpired)
     }
 }
--- a/crates/core/src/membership/timers.rs
+++ b/crates/core/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! What happens as time passes: probes, gossip, joining, suspicions that end.
+//! Timer-driven work: probes, gossip, joining and the expiry of suspicions.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 use crate::time::Timestamp;
 use crate::world::{Address, ZoneName};
 
-/// The most suspects that one node pings in a round, so that the loss of half a zone doesn't flood the rest.
+/// Maximum number of suspects that one node pings in a round, so that the loss of half a zone doesn't flood the rest.
 const SUSPECTS_PER_ROUND: usize = 8;
 
-/// A deadline noticed later than this was noticed by a process that was paused or starved.
-const LATE: Duration = Duration::from_millis(50);
+/// An expiry processed later than this after its deadline shows that the process was paused or starved.
+const LATE_EXPIRY: Duration = Duration::from_millis(50);
 
-/// When each periodic task is due next.
+/// The time at which each periodic task is due next, and the counters of its rounds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timers {
     pub(super) probe: Timestamp,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Spreads the first rounds of nodes that begin together. Absent seeds are asked early: nodes that joined by
-    /// different seeds find each other by that.
+    /// Staggers the first rounds of nodes that start together. Absent seeds are contacted early, so that nodes that
+    /// joined through different seeds find each other.
     pub(super) fn stagger(&mut self, config: &MembershipConfig, random: &mut Rng, now: Timestamp) {
         self.probe = now + config.probe_interval.mul_f64(random.f64());
         self.zone_probe = now + config.zone_probe_interval.mul_f64(random.f64());
@@ -65,7 +65,7 @@
         if self.standing == Standing::Trusted {
             self.expire_probes(now);
             self.expire_suspicions(now);
-            self.settle(now);
+            self.refresh_derived(now);
             self.probe_zone_mates(now);
             self.probe_other_zones(now);
             self.reconnect(now);
@@ -74,7 +74,7 @@
         } else {
             self.join(now);
         }
-        self.questions.forget_before(now - self.config.lease);
+        self.pending_requests.forget_before(now - self.config.lease);
         self.forget_tombstones(now);
     }
 
@@ -86,10 +86,10 @@
         let candidates = [
             Some(self.timers.probe),
             Some(self.timers.reconnect),
-            Some(self.lease.until()),
+            Some(self.lease.expires_at()),
             Some(self.timers.zone_probe),
             gossips.then_some(self.timers.gossip),
-            self.questions.next_deadline(),
+            self.pending_requests.next_deadline(),
             self.recheck.map(|recheck| recheck.due),
             self.suspicions.values().map(|suspicion| suspicion.deadline).min(),
         ];
@@ -113,7 +113,8 @@
         }
         self.timers.join = now + self.config.join_interval;
         let zone_mates = self.roster.ring.iter().map(|member| member.address);
-        let mut candidates: Vec<Address> = self.seeds.iter().chain(&self.callers).copied().chain(zone_mates).collect();
+        let mut candidates: Vec<Address> =
+            self.seeds.iter().chain(&self.inbound_contacts).copied().chain(zone_mates).collect();
         for zone in &self.roster.other_zones {
             candidates.extend(self.roster.delegates(zone).iter().map(|member| member.address));
         }
@@ -121,7 +122,7 @@
         for _ in 0..count {
             let to = candidates[self.timers.join_round % candidates.len()];
             self.timers.join_round += 1;
-            let sequence = self.questions.open(now);
+            let sequence = self.pending_requests.open(now);
             self.send_probe(to, MessageBody::Join { sequence });
         }
     }
@@ -145,14 +146,14 @@
     }
 
     fn probe(&mut self, target: Member, now: Timestamp) {
-        if self.questions.is_probed(target) {
+        if self.pending_requests.is_probed(target) {
             return;
         }
-        let sequence = self.questions.open_probe(target, now + self.config.ping_timeout, now);
+        let sequence = self.pending_requests.open_probe(target, now + self.config.ping_timeout, now);
         self.send_probe(target.address, MessageBody::Ping { sequence });
     }
 
-    /// A ping tells a suspect of the suspicion, and its answer brings the refutation.
+    /// Pings suspects: the ping carries the suspicion, and the answer carries the refutation.
     fn ping_suspects(&mut self, now: Timestamp) {
         let mut suspects: Vec<Address> = self.suspicions.keys().copied().collect();
         self.random.shuffle(&mut suspects);
@@ -163,16 +164,16 @@
     }
 
     fn ping(&mut self, to: Address, now: Timestamp) {
-        let sequence = self.questions.open(now);
+        let sequence = self.pending_requests.open(now);
         self.send_probe(to, MessageBody::Ping { sequence });
     }
 
     fn expire_probes(&mut self, now: Timestamp) {
-        for (sequence, probe) in self.questions.take_due(now) {
+        for (sequence, probe) in self.pending_requests.take_due(now) {
             match probe.stage {
                 ProbeStage::Direct => {
                     let deadline = now + self.config.indirect_timeout;
-                    self.questions.put_back(sequence, Probe { stage: ProbeStage::Indirect, deadline, ..probe });
+                    self.pending_requests.put_back(sequence, Probe { stage: ProbeStage::Indirect, deadline, ..probe });
                     self.ask_relays(sequence, probe.target, now);
                 }
                 ProbeStage::Indirect => self.probe_failed(probe.target, now),
@@ -185,15 +186,15 @@
             self.roster.ring.iter().filter(|member| **member != target).map(|member| member.address).collect();
         self.random.shuffle(&mut relays);
         relays.truncate(self.config.relays);
-        relays.extend(self.random_member_elsewhere());
+        relays.extend(self.random_member_of_other_zone());
         for relay in relays {
-            let sequence = self.questions.open(now);
+            let sequence = self.pending_requests.open(now);
             self.send_probe(relay, MessageBody::PingRequest { sequence, probe, target });
         }
     }
 
-    /// A relay in another zone tells a cut inside this zone from a death.
-    fn random_member_elsewhere(&mut self) -> Option<Address> {
+    /// A relay in another zone distinguishes a link failure inside this zone from a death.
+    fn random_member_of_other_zone(&mut self) -> Option<Address> {
         let reachable: Vec<&ZoneName> =
             self.roster.other_zones.iter().filter(|zone| self.view.is_reachable(zone)).collect();
         let zone = *self.random.choice(&reachable)?;
@@ -224,7 +225,7 @@
 
     fn expire_suspicion(&mut self, address: Address, now: Timestamp) {
         let Some(suspicion) = self.suspicions.get_mut(&address) else { return };
-        let late = now.since(suspicion.deadline) > LATE;
+        let late = now.since(suspicion.deadline) > LATE_EXPIRY;
         if late && !suspicion.postponed {
             suspicion.deadline = now + self.config.ping_timeout;
             suspicion.postponed = true;
@@ -252,7 +253,7 @@
         }
     }
 
-    /// A delegate of the zone; any member when its delegates don't answer.
+    /// Chooses a delegate of the zone, or any member when its delegates don't answer.
     fn choose_in_zone(&mut self, zone: &ZoneName, now: Timestamp) -> Option<Address> {
         let silent = self.reach.is_silent(zone, self.config.zone_timeout / 2, now);
         let candidates = if silent { self.roster.members(zone) } else { self.roster.delegates(zone) };
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Asks an address where no member is known to live: a seed that is absent, or a member that was declared dead.
+    /// Pings an address at which no live member is known: an absent seed, or a member that was declared dead.
     fn reconnect(&mut self, now: Timestamp) {
         if now < self.timers.reconnect {
             return;
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Asks the peer whose digest differed for its digest of now; without an answer the difference is forgotten.
+    /// Pings the peer whose digest differed to get its current digest; without an answer the difference is dropped.
     fn recheck_digest(&mut self, now: Timestamp) {
         let Some(recheck) = self.recheck.filter(|recheck| recheck.due <= now) else { return };
         if recheck.asked {
@@ -316,7 +317,8 @@
         }
     }
 
-    /// Only delegates carry changes of their zone to others; two rounds over all zones, so that one may be lost.
+    /// Only delegates send changes of their zone to other zones, in two rounds over all zones, so that one message to a
+    /// zone may be lost.
     fn gossip_to_zones(&mut self) {
         let zones = self.roster.other_zones.len();
         if !self.roster.is_delegate {
--- a/crates/core/src/membership/view.rs
+++ b/crates/core/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! All members that a node knows.
+//! A node's view of all members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use super::record::{MemberRecord, MemberState};
 use crate::world::{Address, ZoneName};
 
-/// All members that a node knows, of all zones, and the zones that its own zone can't reach.
+/// All members of all zones known to a node, and the zones that its own zone can't reach.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
     records: BTreeMap<Address, MemberRecord>,
@@ -14,7 +14,7 @@
 }
 
 impl View {
-    /// A view of the given records; of two records of one address, the merge counts.
+    /// Creates a view of the given records; records of the same address are merged.
     pub fn new(records: impl IntoIterator<Item = MemberRecord>) -> Self {
         let mut view = View::default();
         for record in records {
@@ -23,7 +23,7 @@
         view
     }
 
-    /// All records, dead members included, in the order of their addresses.
+    /// All records, dead members included, ordered by address.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
@@ -33,28 +33,28 @@
         self.records().filter(move |record| record.zone == *zone)
     }
 
-    /// The latest life known at an address.
+    /// The record of the latest incarnation known at an address.
     pub fn record(&self, address: Address) -> Option<&MemberRecord> {
         self.records.get(&address)
     }
 
-    /// The state of one life; `None` when it is unknown or another life is known at its address.
+    /// The state of one incarnation; `None` when it is unknown or another incarnation is known at its address.
     pub fn state(&self, member: Member) -> Option<MemberState> {
         let record = self.record(member.address)?;
         (record.member == member).then(|| record.state())
     }
 
-    /// The zones that can't be reached from this node's zone. Their members are not declared dead for that.
+    /// The zones that can't be reached from this node's zone. Their members are not declared dead because of that.
     pub fn unreachable_zones(&self) -> &BTreeSet<ZoneName> {
         &self.unreachable
     }
 
-    /// Whether the zone can be reached, as far as is known.
+    /// Whether the zone is reachable, as far as is known.
     pub fn is_reachable(&self, zone: &ZoneName) -> bool {
         !self.unreachable.contains(zone)
     }
 
-    /// Members that may own pools of the given zones: neither dead nor leaving, and in a zone that can be reached.
+    /// Members that may own pools of the given zones: neither dead nor leaving, and in a reachable zone.
     pub fn owner_candidates<'a>(&'a self, zones: &'a [ZoneName]) -> impl Iterator<Item = Member> + 'a {
         self.records()
             .filter(|record| record.state().may_own())
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Puts a record in the place of whatever is known of its address.
+    /// Replaces the record of an address without merging.
     pub(super) fn replace(&mut self, record: MemberRecord) {
         self.records.insert(record.member.address, record);
     }
 
-    /// Forgets an address.
+    /// Removes the record of an address.
     pub(super) fn remove(&mut self, address: Address) {
         self.records.remove(&address);
     }
--- a/crates/core/tests/membership_basics.rs
+++ b/crates/core/tests/membership_basics.rs
@@ -1,4 +1,4 @@
-//! Joining, leaving, death and restart without other faults.
+//! Joining, leaving, death and restart of nodes without other faults.
 
 #[path = "support/membership_cluster.rs"]
 #[allow(dead_code)]
@@ -15,12 +15,15 @@
 
 fn converged(zones: usize, nodes_per_zone: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::start(zones, nodes_per_zone, seed);
-    assert!(cluster.run_until(JOIN_LIMIT, Cluster::has_converged).is_some(), "no agreement with seed {seed}");
+    assert!(
+        cluster.run_until(JOIN_LIMIT, Cluster::has_converged).is_some(),
+        "the nodes did not converge with seed {seed}"
+    );
     cluster
 }
 
 #[test]
-fn a_lone_node_without_seeds_is_trusted_at_once_and_stays_so_after_a_pause() {
+fn a_lone_node_without_seeds_is_trusted_at_once_and_stays_trusted_after_a_pause() {
     let mut cluster = Cluster::start(1, 1, 1);
     assert_eq!(cluster.node(0).standing(), Standing::Trusted);
     cluster.run_for(Duration::from_secs(10));
@@ -33,7 +36,7 @@
 }
 
 #[test]
-fn nodes_that_start_together_agree_and_nothing_is_declared_dead_without_faults() {
+fn nodes_that_start_together_converge_and_none_is_declared_dead_without_faults() {
     for seed in SEEDS {
         let mut cluster = converged(4, 8, seed);
         let since = cluster.now;
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn a_node_joins_by_the_only_seed_that_lives() {
+fn a_node_joins_through_the_only_live_seed() {
     let zones: Vec<ZoneName> = (0..6).map(|_| "zone".into()).collect();
     let seeds = (0..3).map(address_of).collect();
     let mut cluster = Cluster::start_with(MembershipConfig::default(), zones, seeds, 5);
@@ -75,23 +78,23 @@
 }
 
 #[test]
-fn leaving_is_known_in_the_zone_within_two_seconds_though_messages_are_lost() {
+fn leaving_is_known_in_the_zone_within_two_seconds_despite_message_loss() {
     for seed in SEEDS {
         let mut cluster = converged(2, 30, seed);
         let faults = havengate_core::simulation::NetworkFaults { loss: 0.1, ..Default::default() };
         cluster.network.set_faults(faults);
-        let leaver = 12;
-        let member = cluster.member(leaver);
-        cluster.call(leaver, Membership::leave);
+        let leaving_node = 12;
+        let member = cluster.member(leaving_node);
+        cluster.call(leaving_node, Membership::leave);
         let known =
             |cluster: &Cluster| (0..30).all(|index| cluster.state_seen_by(index, member) == Some(MemberState::Leaving));
         assert!(cluster.run_until(Duration::from_secs(2), known).is_some(), "seed {seed}");
-        assert!(cluster.trusts_itself(leaver), "a leaving node finishes its work");
+        assert!(cluster.trusts_itself(leaving_node), "a leaving node stays trusted to finish its work");
     }
 }
 
 #[test]
-fn a_hint_marks_a_member_as_leaving_and_an_empty_hint_takes_nothing_back() {
+fn a_hint_marks_a_member_as_leaving_and_an_empty_hint_does_not_revert_it() {
     let mut cluster = converged(2, 5, 1);
     let member = cluster.member(3);
     cluster.call(0, |membership, now| membership.hint_leaving(&[address_of(3)], now));
@@ -106,7 +109,7 @@
     let mut cluster = converged(1, 2, 1);
     cluster.kill(1);
     cluster.run_for(Duration::from_secs(60));
-    assert!(!cluster.trusts_itself(0), "a dead peer looks the same as being cut off");
+    assert!(!cluster.trusts_itself(0), "the node can't distinguish a dead peer from its own isolation");
     cluster.call(0, |membership, now| membership.hint_leaving(&[address_of(1)], now));
     cluster.run_for(Duration::from_secs(1));
     assert!(cluster.trusts_itself(0));
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn a_restarted_process_is_a_new_life_and_the_old_one_stays_dead() {
+fn a_restarted_process_is_a_new_incarnation_and_the_old_one_stays_dead() {
     for seed in SEEDS {
         let mut cluster = converged(2, 5, seed);
         let old = cluster.member(2);
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn a_full_restart_forms_again() {
+fn a_cluster_converges_after_a_full_restart() {
     for seed in SEEDS {
         let mut cluster = converged(3, 5, seed);
         for index in cluster.all() {
@@ -146,7 +149,7 @@
 }
 
 #[test]
-fn a_zone_that_restarts_as_a_whole_forms_again_and_only_its_old_lives_are_dead() {
+fn a_zone_that_restarts_completely_converges_and_only_its_old_incarnations_are_dead() {
     for seed in SEEDS {
         let mut cluster = converged(3, 5, seed);
         let since = cluster.now;
--- a/crates/core/tests/membership_faults.rs
+++ b/crates/core/tests/membership_faults.rs
@@ -1,5 +1,5 @@
-//! Loss, doubling, reordering, delay, cuts, pauses and kills: a node suspends itself before it is declared dead, nobody
-//! is declared dead without cause, and all agree again afterwards.
+//! Message loss, duplication, reordering, delay, partitions, pauses and kills: a node suspends itself before it is
+//! declared dead, no member is declared dead without cause, and all nodes converge afterwards.
 
 #[path = "support/membership_cluster.rs"]
 #[allow(dead_code)]
@@ -22,7 +22,10 @@
 
 fn converged(zones: usize, nodes_per_zone: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::start(zones, nodes_per_zone, seed);
-    assert!(cluster.run_until(JOIN_LIMIT, Cluster::has_converged).is_some(), "no agreement with seed {seed}");
+    assert!(
+        cluster.run_until(JOIN_LIMIT, Cluster::has_converged).is_some(),
+        "the nodes did not converge with seed {seed}"
+    );
     cluster
 }
 
@@ -40,7 +43,7 @@
 }
 
 #[test]
-fn a_node_that_is_cut_off_suspends_itself_before_its_death_is_declared() {
+fn an_isolated_node_suspends_itself_before_it_is_declared_dead() {
     for seed in SEEDS {
         let mut cluster = converged(2, 8, seed);
         let cut_at = cluster.now;
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn a_node_that_sends_but_hears_nothing_suspends_itself_in_time() {
+fn a_node_that_sends_but_receives_nothing_suspends_itself_in_time() {
     for seed in SEEDS {
         let mut cluster = converged(1, 8, seed);
         for other in (0..8).filter(|other| *other != 2) {
@@ -73,7 +76,7 @@
 }
 
 #[test]
-fn a_node_that_hears_but_whose_messages_are_lost_suspends_itself_in_time() {
+fn a_node_that_receives_but_whose_messages_are_lost_suspends_itself_in_time() {
     for seed in SEEDS {
         let mut cluster = converged(1, 8, seed);
         for other in (0..8).filter(|other| *other != 2) {
@@ -88,7 +91,7 @@
 }
 
 #[test]
-fn a_cut_between_two_zone_mates_alone_kills_neither() {
+fn a_link_failure_between_two_zone_mates_alone_causes_no_death() {
     for seed in SEEDS {
         let mut cluster = converged(2, 2, seed);
         let since = cluster.now;
@@ -100,13 +103,13 @@
 }
 
 #[test]
-fn a_pause_longer_than_the_lease_ends_the_life_before_anything_else_happens() {
+fn a_pause_longer_than_the_lease_ends_the_incarnation_before_anything_else_happens() {
     for seed in SEEDS {
         let mut cluster = converged(2, 6, seed);
         let old = cluster.member(1);
         cluster.pause(1);
         cluster.run_for(Duration::from_secs(8));
-        assert!(!cluster.trusts_itself(1), "a thread that checks its clock does not trust");
+        assert!(!cluster.trusts_itself(1), "a thread that checks its clock must find the lease expired");
         cluster.resume(1);
         cluster.run_for(Duration::from_millis(10));
         assert_eq!(first_suspension(&cluster, 1).1, SuspensionReason::ClockGap);
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn the_last_node_of_a_zone_goes_on_with_the_help_of_other_zones() {
+fn the_last_node_of_a_zone_stays_trusted_with_the_help_of_other_zones() {
     for seed in SEEDS {
         let mut cluster = converged(2, 3, seed);
         let dead = [cluster.member(0), cluster.member(1)];
@@ -130,7 +133,7 @@
 }
 
 #[test]
-fn a_zone_cut_off_for_an_hour_is_unreachable_but_not_dead_and_comes_back() {
+fn a_zone_isolated_for_an_hour_is_unreachable_but_not_dead_and_becomes_reachable_again() {
     let mut cluster = converged(4, 4, 1);
     let since = cluster.now;
     let (cut, rest): (Vec<usize>, Vec<usize>) = cluster.all().partition(|index| *index < 4);
@@ -155,7 +158,7 @@
 }
 
 #[test]
-fn the_halves_of_a_zone_agree_again_after_a_partition() {
+fn the_halves_of_a_zone_converge_after_a_partition() {
     for seed in SEEDS {
         let mut cluster = converged(2, 8, seed);
         cluster.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
@@ -167,7 +170,7 @@
 }
 
 #[test]
-fn a_bad_network_alone_kills_nobody() {
+fn an_unreliable_network_alone_causes_no_death() {
     for seed in SEEDS {
         let mut cluster = converged(2, 10, seed);
         let since = cluster.now;
@@ -183,7 +186,7 @@
     }
 }
 
-/// One fault at a random node.
+/// Injects one random fault at a random node.
 fn inject_fault(cluster: &mut Cluster, choices: &mut Unstructured) -> Result<()> {
     let index = choices.choose_index(cluster.all().len())?;
     match choices.int_in_range(0..=6)? {
@@ -201,25 +204,25 @@
     Ok(())
 }
 
-/// Incarnations that each node knows of each address: they never go back while the node's process lives.
-type KnownLives = BTreeMap<(NodeIndex, Incarnation, Address), Incarnation>;
+/// The incarnation that each node knows of each address; it never decreases while the node's process runs.
+type KnownIncarnations = BTreeMap<(NodeIndex, Incarnation, Address), Incarnation>;
 
-fn check_incarnations(cluster: &Cluster, process_starts: &[Incarnation], known: &mut KnownLives) {
+fn check_incarnations(cluster: &Cluster, process_starts: &[Incarnation], known: &mut KnownIncarnations) {
     for index in cluster.all() {
         for record in cluster.node(index).view().records() {
             let key = (index, process_starts[index], record.member.address);
             let before = known.insert(key, record.member.incarnation);
-            assert!(before.is_none_or(|before| before <= record.member.incarnation), "an incarnation went back");
+            assert!(before.is_none_or(|before| before <= record.member.incarnation), "a known incarnation decreased");
         }
     }
 }
 
 #[test]
-fn after_random_faults_all_agree_again_and_incarnations_never_go_back() {
+fn nodes_converge_after_random_faults_and_known_incarnations_never_decrease() {
     for seed in 0..40_u64 {
         arbtest(|choices| {
             let mut cluster = converged(2, 5, seed);
-            let mut known = KnownLives::new();
+            let mut known = KnownIncarnations::new();
             for _ in 0..12 {
                 let process_starts: Vec<Incarnation> =
                     cluster.all().map(|index| cluster.member(index).incarnation).collect();
@@ -232,7 +235,10 @@
             for index in cluster.all().filter(|index| !cluster.is_running(*index)).collect::<Vec<_>>() {
                 cluster.restart(index);
             }
-            assert!(cluster.run_until(HEAL_LIMIT, Cluster::has_converged).is_some(), "no agreement, seed {seed}");
+            assert!(
+                cluster.run_until(HEAL_LIMIT, Cluster::has_converged).is_some(),
+                "the nodes did not converge, seed {seed}"
+            );
             Ok(())
         })
         .seed(seed * 0x1_0000_0100 + 0x40);
@@ -240,7 +246,7 @@
 }
 
 #[test]
-fn a_node_cut_off_at_a_random_moment_of_a_bad_network_never_trusts_itself_when_it_is_declared_dead() {
+fn a_node_isolated_at_a_random_moment_of_an_unreliable_network_never_trusts_itself_when_it_is_declared_dead() {
     for seed in 0..60_u64 {
         let mut cluster = converged(2, 6, seed);
         cluster.network.set_faults(NetworkFaults { loss: 0.25, ..NetworkFaults::default() });
--- a/crates/core/tests/membership_lease.rs
+++ b/crates/core/tests/membership_lease.rs
@@ -1,4 +1,5 @@
-//! One failure detector, message by message: what renews its lease, what ends its life, and who becomes a member.
+//! One failure detector, message by message: what renews its lease, what ends its incarnation, and which nodes become
+//! members.
 
 use std::time::Duration;
 
@@ -29,10 +30,10 @@
         MessageBody::Ping { sequence } | MessageBody::Join { sequence } => Some(sequence),
         _ => None,
     });
-    sequences.next_back().expect("a question was asked")
+    sequences.next_back().expect("a ping or a join request was sent")
 }
 
-/// Node 1, joined through node 2; the time is that of its joining.
+/// Returns node 1, joined through node 2, and the time at which it joined.
 fn joined() -> (Membership, Timestamp) {
     let seeds = vec![member(2).address];
     let node = Membership::new(MembershipConfig::default(), member(1), "zone".into(), seeds, START, 1);
@@ -46,21 +47,21 @@
     (node, now)
 }
 
-/// Lets the node ask its peer; returns when it asked and the sequence.
+/// Runs the node until it pings its peer; returns the time and the sequence of the ping.
 fn next_probe(node: &mut Membership) -> (Timestamp, Sequence) {
     loop {
         let now = node.next_tick().expect("not suspended");
         node.tick(now);
         let ready = node.take_ready();
-        let asks = ready.messages.iter().any(|outgoing| matches!(outgoing.message.body, MessageBody::Ping { .. }));
-        if asks {
+        let pings = ready.messages.iter().any(|outgoing| matches!(outgoing.message.body, MessageBody::Ping { .. }));
+        if pings {
             return (now, sequence_of(&ready));
         }
     }
 }
 
 #[test]
-fn the_lease_counts_from_the_sending_of_what_was_acknowledged() {
+fn the_lease_starts_when_the_acknowledged_message_was_sent() {
     let lease = MembershipConfig::default().lease;
     let (mut node, _) = joined();
     assert_eq!(node.trusted_until(), Some(START + ROUND_TRIP + lease), "a peer became known at the acknowledgement");
@@ -69,7 +70,7 @@
     node.step(member(2).address, ack.clone(), sent_at + ROUND_TRIP);
     assert_eq!(node.trusted_until(), Some(sent_at + lease));
     node.step(member(2).address, ack, sent_at + 2 * ROUND_TRIP);
-    assert_eq!(node.trusted_until(), Some(sent_at + lease), "a doubled acknowledgement renews nothing");
+    assert_eq!(node.trusted_until(), Some(sent_at + lease), "a duplicate acknowledgement renews nothing");
 }
 
 #[test]
@@ -91,8 +92,8 @@
 #[test]
 fn a_suspended_node_is_silent_until_it_rejoins_with_a_higher_incarnation() {
     let (mut node, now) = joined();
-    let later_life = Member { incarnation: Incarnation(500), ..member(1) };
-    let gossip = message(MessageBody::Gossip, vec![MemberRecord::alive(later_life, "zone".into())]);
+    let later_incarnation = Member { incarnation: Incarnation(500), ..member(1) };
+    let gossip = message(MessageBody::Gossip, vec![MemberRecord::alive(later_incarnation, "zone".into())]);
     node.step(member(2).address, gossip, now);
     assert_eq!(node.standing(), Standing::Suspended { reason: SuspensionReason::Superseded });
     assert_eq!((node.trusted_until(), node.next_tick()), (None, None));
@@ -105,21 +106,21 @@
 }
 
 #[test]
-fn a_lease_that_runs_out_suspends() {
+fn a_node_whose_lease_expires_suspends_itself() {
     let (mut node, _) = joined();
     let until = node.trusted_until().expect("trusted");
     let mut now = START;
     while now < until {
         assert_eq!(node.standing(), Standing::Trusted);
         now = node.next_tick().expect("not suspended");
-        assert!(now <= until, "the node must be woken when its lease ends");
+        assert!(now <= until, "the node must be woken when its lease expires");
         node.tick(now);
     }
     assert_eq!(node.standing(), Standing::Suspended { reason: SuspensionReason::LeaseExpired });
 }
 
 #[test]
-fn a_node_that_asks_to_join_is_no_member_yet_and_its_earlier_life_is_over() {
+fn a_joining_node_is_not_yet_a_member_and_its_previous_incarnation_is_dead() {
     let (mut node, now) = joined();
     let restarted = Member { incarnation: Incarnation(300), ..member(2) };
     let join = MessageBody::Join { sequence: Sequence(9) };
--- a/crates/core/tests/membership_records.rs
+++ b/crates/core/tests/membership_records.rs
@@ -1,4 +1,5 @@
-//! Records merge as a join-semilattice, messages survive their codec, and settings that break the lease are refused.
+//! Records merge as a join-semilattice, messages are preserved by encoding and decoding, and settings that violate the
+//! lease rules are rejected.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 
 const SEEDS: std::ops::Range<u64> = 0..500;
 
-/// As members write them: what a member says of itself depends on its life and revision alone.
+/// A record as members write it: the content of a member's own record depends only on its incarnation and revision.
 fn arbitrary_record(choices: &mut Unstructured) -> Result<MemberRecord> {
     let member = Member {
         address: Address(([10, 0, 0, 1], 7_000).into()),
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn leaving_and_death_are_final_within_a_life_and_a_later_life_starts_afresh() {
+fn leaving_and_death_are_final_within_an_incarnation_and_reset_by_a_later_one() {
     let member = Member { address: Address(([10, 0, 0, 1], 7_000).into()), incarnation: Incarnation(5) };
     let alive = MemberRecord { revision: 9, ..MemberRecord::alive(member, "a".into()) };
     let ended = MemberRecord { liveness: Liveness::Dead, leaving: true, revision: 0, ..alive.clone() };
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn messages_survive_their_codec_and_a_ping_is_small() {
+fn messages_are_preserved_by_the_codec_and_a_ping_is_small() {
     let member = Member { address: Address(([10, 0, 0, 1], 7_000).into()), incarnation: Incarnation(5) };
     let report = Some(ZoneReport { unreachable: vec!["b".into()] });
     let record = MemberRecord { zone_report: report, ..MemberRecord::alive(member, "a".into()) };
--- a/crates/core/tests/membership_rendezvous.rs
+++ b/crates/core/tests/membership_rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: same order for all, little movement, restarted nodes regain their place.
+//! Rendezvous hashing: all nodes compute the same order, few keys move, and restarted nodes regain their rank.
 
 use havengate_core::membership::{
     Incarnation, Liveness, Member, MemberRecord, View, rank_by_address, rank_members, rank_pool_owners,
--- a/crates/core/tests/support/membership_cluster.rs
+++ b/crates/core/tests/support/membership_cluster.rs
@@ -1,4 +1,4 @@
-//! Failure detectors of many nodes on one virtual network. Each node has a clock with an origin of its own.
+//! Failure detectors of many nodes on one virtual network. Each node has a clock with its own origin.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 /// Index of a node in the cluster.
 pub type NodeIndex = usize;
 
-/// A member was reported dead by a node while it still trusted itself.
+/// A member that a node reported dead while the member still trusted itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overlap {
     pub at: Timestamp,
@@ -22,7 +22,7 @@
     pub member: Member,
 }
 
-/// Something that a node reported, in the cluster's time.
+/// An event that a node reported, with the cluster's time.
 #[derive(Clone, Debug)]
 pub struct Report {
     pub at: Timestamp,
@@ -43,13 +43,13 @@
     status: Status,
 }
 
-/// All nodes, the network between them and what they have reported.
+/// All nodes, the network between them and their reports.
 pub struct Cluster {
     pub network: VirtualNetwork<NodeIndex, MembershipMessage>,
     pub now: Timestamp,
     pub reports: Vec<Report>,
     pub overlaps: Vec<Overlap>,
-    /// Bytes that all processes have sent, those that have ended included.
+    /// Bytes sent by all processes, including terminated ones.
     pub bytes_sent: u64,
     config: MembershipConfig,
     zones: Vec<ZoneName>,
@@ -114,7 +114,7 @@
         self.nodes[index].status == Status::Running
     }
 
-    /// Whether the node would take new work now, as a thread that checks its own clock would see it.
+    /// Whether the node would take new work now, as determined by a thread that checks its own clock.
     pub fn trusts_itself(&self, index: NodeIndex) -> bool {
         let node = &self.nodes[index];
         node.membership.trusted_until().is_some_and(|until| self.now + node.clock_offset < until)
@@ -124,7 +124,7 @@
     pub fn call(&mut self, index: NodeIndex, action: impl FnOnce(&mut Membership, Timestamp)) {
         let local = self.now + self.nodes[index].clock_offset;
         action(&mut self.nodes[index].membership, local);
-        self.carry_out(index);
+        self.process_ready(index);
     }
 
     pub fn kill(&mut self, index: NodeIndex) {
@@ -132,7 +132,7 @@
         self.network.kill(index);
     }
 
-    /// Starts a process anew; one that was paused ends first.
+    /// Starts a new process; a paused one is terminated first.
     pub fn restart(&mut self, index: NodeIndex) {
         self.network.kill(index);
         self.network.resume(index, self.now);
@@ -152,7 +152,7 @@
         self.schedule.insert((self.now, index));
     }
 
-    /// Cuts all ways between two groups.
+    /// Cuts all links between two groups, in both directions.
     pub fn partition(&mut self, one: &[NodeIndex], other: &[NodeIndex]) {
         for (from, to) in one.iter().flat_map(|from| other.iter().map(move |to| (*from, *to))) {
             self.network.cut(from, to);
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Cuts one node off from all others.
+    /// Cuts all links between one node and all others.
     pub fn isolate(&mut self, index: NodeIndex) {
         let others: Vec<NodeIndex> = self.all().filter(|other| *other != index).collect();
         self.partition(&[index], &others);
@@ -172,7 +172,7 @@
         self.now = end;
     }
 
-    /// Runs until `condition` holds; tells how long that took, or nothing if it didn't within `limit`.
+    /// Runs until `condition` holds and returns the elapsed time, or `None` if it doesn't hold within `limit`.
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Cluster) -> bool) -> Option<Duration> {
         let start = self.now;
         while !condition(self) {
@@ -183,8 +183,8 @@
         Some(self.now.since(start))
     }
 
-    /// Whether all running nodes are trusted and see exactly the running nodes, in their present lives, as alive, and
-    /// no zone as unreachable.
+    /// Whether all running nodes are trusted and see exactly the running nodes, with their current incarnations, as
+    /// alive, and no zone as unreachable.
     pub fn has_converged(&self) -> bool {
         let running: BTreeSet<Member> =
             self.all().filter(|index| self.is_running(*index)).map(|index| self.member(index)).collect();
@@ -200,19 +200,19 @@
         })
     }
 
-    /// The state of one node in the eyes of another.
+    /// The state of a member in the view of a node.
     pub fn state_seen_by(&self, observer: NodeIndex, member: Member) -> Option<MemberState> {
         self.node(observer).view().state(member)
     }
 
-    /// The deaths that were reported since `since`, not counting lives that a later one had replaced.
+    /// The deaths reported since `since`.
     pub fn deaths_since(&self, since: Timestamp) -> Vec<&Report> {
         let is_death =
             |event: &MembershipEvent| matches!(event, MembershipEvent::MemberChanged { state: MemberState::Dead, .. });
         self.reports.iter().filter(|report| report.at >= since && is_death(&report.event)).collect()
     }
 
-    /// The times at which a node suspended itself, other than to join.
+    /// The times and reasons of a node's suspensions, without those for joining.
     pub fn suspensions_of(&self, index: NodeIndex) -> Vec<(Timestamp, SuspensionReason)> {
         let reports = self.reports.iter().filter(|report| report.reporter == index);
         reports
@@ -235,7 +235,7 @@
         Node { membership: membership.expect("valid settings"), clock_offset, status: Status::Running }
     }
 
-    /// Wall-clock time, as a process would take it.
+    /// The wall-clock time from which a starting process derives its incarnation.
     fn fresh_incarnation(&self) -> Incarnation {
         Incarnation(1_700_000_000_000_000 + self.now.as_micros())
     }
@@ -264,7 +264,7 @@
         }
     }
 
-    fn carry_out(&mut self, index: NodeIndex) {
+    fn process_ready(&mut self, index: NodeIndex) {
         self.take_ready(index);
         if self.node(index).standing().must_rejoin() {
             let incarnation = self.fresh_incarnation();
@@ -287,13 +287,14 @@
             }
         }
         for event in ready.events {
-            self.note_overlap(index, &event);
+            self.record_overlap(index, &event);
             self.reports.push(Report { at: self.now, reporter: index, event });
         }
     }
 
-    /// A killed process trusts nothing any more; a paused one may wake up, so its lease counts.
-    fn note_overlap(&mut self, reporter: NodeIndex, event: &MembershipEvent) {
+    /// Records a death that is reported while the member trusts itself. A killed process can't act; a paused one may
+    /// resume, so its lease counts.
+    fn record_overlap(&mut self, reporter: NodeIndex, event: &MembershipEvent) {
         let MembershipEvent::MemberChanged { member, state: MemberState::Dead, .. } = event else { return };
         let Some(index) = self.indexes.get(&member.address).copied() else { return };
         let may_act = self.nodes[index].status != Status::Killed && self.trusts_itself(index);
