--- a/crates/core/src/dispatch/engine_state.rs
+++ b/crates/core/src/dispatch/engine_state.rs
@@ -194,7 +194,7 @@
         self.health.start(job.profile.id);
         self.kv_tokens = self.kv_tokens.saturating_add(task.kv_tokens);
         if stage != Stage::Decode {
-            let prefill_time = self.slot.performance.read_time(uncached_tokens);
+            let prefill_time = self.slot.performance.prefill_time(uncached_tokens);
             self.backlog.push(job.profile.id, uncached_tokens, prefill_time, now);
             self.prefixes.insert(&job.profile.blocks);
         }
@@ -241,7 +241,7 @@
         let arrived_after_report = |task: &&Task| task.placed_at + self.slot.link_latency > now - report.age;
         let placed_later: u32 = self.tasks.values().filter(arrived_after_report).map(|task| task.uncached_tokens).sum();
         let pending_tokens = report.waiting_prefill_tokens.saturating_add(placed_later);
-        self.backlog.correct(self.slot.performance.read_time(pending_tokens), report.age, now);
+        self.backlog.correct(self.slot.performance.prefill_time(pending_tokens), report.age, now);
     }
 
     fn has_batch_room(&self, job: &Job, stage: Stage, now: Timestamp) -> bool {
@@ -261,7 +261,7 @@
     }
 
     fn wait_maximum(&self) -> Duration {
-        self.slot.performance.read_time(self.backlog_maximum)
+        self.slot.performance.prefill_time(self.backlog_maximum)
     }
 
     /// How long the prefill of another prompt may take before it violates the token interval of a stream that runs here
@@ -289,7 +289,7 @@
 
     fn prefill_time(&self, job: &Job) -> Duration {
         let cached = self.prefixes.cached_tokens(&job.profile.blocks);
-        self.slot.performance.read_time(job.profile.prompt_tokens.saturating_sub(cached))
+        self.slot.performance.prefill_time(job.profile.prompt_tokens.saturating_sub(cached))
     }
 
     fn requests(&self) -> u32 {
--- a/crates/core/src/dispatch/fleet.rs
+++ b/crates/core/src/dispatch/fleet.rs
@@ -88,7 +88,7 @@
         let prefill_work = |engine: &EngineState| {
             let cached = engine.prefixes.cached_tokens(&profile.blocks);
             let tokens = profile.prompt_tokens.saturating_sub(cached);
-            PrefillWork { time: engine.slot.performance.read_time(tokens), tokens }
+            PrefillWork { time: engine.slot.performance.prefill_time(tokens), tokens }
         };
         let unknown = PrefillWork { time: Duration::ZERO, tokens: profile.prompt_tokens };
         self.engines.values().map(prefill_work).min().unwrap_or(unknown)
--- a/crates/core/src/gateway/pool_picker.rs
+++ b/crates/core/src/gateway/pool_picker.rs
@@ -123,7 +123,7 @@
         let known = self.known(option, now);
         let engines = u32::from(known.load.serving_engines.max(1));
         let tokens = known.load.waiting_prefill_tokens.saturating_add(known.sent_tokens);
-        let prefill = option.performance.read_time(tokens / engines);
+        let prefill = option.performance.prefill_time(tokens / engines);
         let batch = option.performance.step_time_of(known.load.running / engines);
         option.latency * 2 + prefill + batch
     }
--- a/crates/core/src/policy/cost.rs
+++ b/crates/core/src/policy/cost.rs
@@ -59,13 +59,13 @@
 
     fn cost(&self, request: &RequestProfile, stage: Stage, engine: &EngineView) -> f64 {
         let reads = stage != Stage::Decode;
-        let read_time = if reads { engine.read_time(request).as_secs_f64() } else { 0.0 };
+        let prefill_time = if reads { engine.prefill_time(request).as_secs_f64() } else { 0.0 };
         let interferes = reads && engine.role == EngineRole::Mixed && engine.decoding > 0;
-        let delayed = if interferes { read_time * f64::from(engine.decoding) } else { 0.0 };
-        let excess = if interferes { read_time - engine.interference_slack.as_secs_f64() } else { 0.0 };
+        let delayed = if interferes { prefill_time * f64::from(engine.decoding) } else { 0.0 };
+        let excess = if interferes { prefill_time - engine.interference_slack.as_secs_f64() } else { 0.0 };
         let memory = f64::from(engine.reserved_kv_tokens) / f64::from(engine.performance.kv_capacity_tokens.max(1));
         self.first_token * engine.time_to_first_token(request, stage).as_secs_f64()
-            + self.read * read_time
+            + self.read * prefill_time
             + self.generation * generation_delay(request, stage, engine)
             + self.interference * delayed
             + self.broken_interval * excess.max(0.0)
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -47,9 +47,9 @@
 
 impl EngineView {
     /// Predicted time to read what is not cached of a prompt.
-    pub fn read_time(&self, request: &RequestProfile) -> Duration {
+    pub fn prefill_time(&self, request: &RequestProfile) -> Duration {
         let tokens = request.prompt_tokens.saturating_sub(self.cached_prefix_tokens);
-        self.performance.read_time(tokens)
+        self.performance.prefill_time(tokens)
     }
 
     /// Predicted time of one generation step once one more request runs here.
@@ -60,7 +60,7 @@
     /// Predicted time to the first token when the request is placed here now.
     pub fn time_to_first_token(&self, request: &RequestProfile, stage: Stage) -> Duration {
         let prefill = match stage {
-            Stage::Prefill | Stage::Whole => self.prefill_wait + self.read_time(request),
+            Stage::Prefill | Stage::Whole => self.prefill_wait + self.prefill_time(request),
             Stage::Decode => self.performance.transfer_time(request.prompt_tokens),
         };
         2 * self.link_latency + prefill + self.step_time()
--- a/crates/core/src/world/back_end_id.rs
+++ b/crates/core/src/world/back_end_id.rs
@@ -31,7 +31,7 @@
     }
 
     /// The life that began at `started`.
-    pub fn of_life(name: BackEndName, started: Option<StartMoment>) -> Self {
+    pub fn of_incarnation(name: BackEndName, started: Option<StartMoment>) -> Self {
         BackEndId { name, started }
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Whether what a back end of this name says of itself, having started at `told`, may be said by this life.
-    pub fn may_be_life_of(&self, told: Option<StartMoment>) -> bool {
+    pub fn may_be_same_incarnation(&self, told: Option<StartMoment>) -> bool {
         match (self.started, told) {
             (Some(known), Some(told)) => known == told,
             // Nothing tells them apart.
--- a/crates/core/src/world/engine.rs
+++ b/crates/core/src/world/engine.rs
@@ -117,7 +117,7 @@
 
 impl EnginePerformance {
     /// Time to read `tokens` of a prompt on an engine that does nothing else.
-    pub fn read_time(&self, tokens: u32) -> Duration {
+    pub fn prefill_time(&self, tokens: u32) -> Duration {
         seconds(f64::from(tokens) / self.prefill_tokens_per_second)
     }
 
--- a/crates/core/tests/back_end_limits.rs
+++ b/crates/core/tests/back_end_limits.rs
@@ -340,7 +340,7 @@
 fn a_limit_notice_fits_one_datagram_with_long_names() {
     let mut limits = BackEndLimits::default();
     for number in 0..20 {
-        let id = BackEndId::of_life(BackEndName::new(format!("{number:0100}")), Some(StartMoment(number)));
+        let id = BackEndId::of_incarnation(BackEndName::new(format!("{number:0100}")), Some(StartMoment(number)));
         limits.record_limit(&id, rate(2.5), START);
     }
     let sampled = limits.sample(&mut fastrand::Rng::with_seed(1), after(Duration::from_secs(1)));
@@ -355,7 +355,7 @@
 fn expired_or_excess_limits_in_a_notice_are_ignored() {
     let mut limits = BackEndLimits::default();
     let announced = |number: u64, age_millis| AnnouncedLimit {
-        back_end: BackEndId::of_life(BackEndName::new("many"), Some(StartMoment(number))),
+        back_end: BackEndId::of_incarnation(BackEndName::new("many"), Some(StartMoment(number))),
         limit: Some(rate(1.0)),
         age_millis,
     };
--- a/crates/core/tests/back_end_lives.rs
+++ b/crates/core/tests/back_end_lives.rs
@@ -29,7 +29,7 @@
 const START: Timestamp = Timestamp::from_millis(10_000);
 
 fn id(started: Option<u64>) -> BackEndId {
-    BackEndId::of_life(BackEndName::new("engine-1"), started.map(StartMoment))
+    BackEndId::of_incarnation(BackEndName::new("engine-1"), started.map(StartMoment))
 }
 
 /// The engine's incarnation that started at `started`.
@@ -112,9 +112,9 @@
     let mut directory = directory_of(without_start.clone());
     directory.apply(put(11, BackEnd { slots: 9, ..without_start }), START);
     assert!(directory.get(&id(None)).is_some());
-    assert!(id(None).may_be_life_of(Some(StartMoment(7))));
-    assert!(id(Some(7)).may_be_life_of(None));
-    assert!(!id(Some(7)).may_be_life_of(Some(StartMoment(8))));
+    assert!(id(None).may_be_same_incarnation(Some(StartMoment(7))));
+    assert!(id(Some(7)).may_be_same_incarnation(None));
+    assert!(!id(Some(7)).may_be_same_incarnation(Some(StartMoment(8))));
 }
 
 #[test]
--- a/crates/core/tests/back_end_notices.rs
+++ b/crates/core/tests/back_end_notices.rs
@@ -78,7 +78,7 @@
 #[test]
 fn a_new_incarnation_is_usable_after_the_previous_one_drained_or_backed_off() {
     let incarnation = |started| BackEnd {
-        id: BackEndId::of_life(back_end(1, None).id.name().clone(), Some(StartMoment(started))),
+        id: BackEndId::of_incarnation(back_end(1, None).id.name().clone(), Some(StartMoment(started))),
         ..back_end(1, None)
     };
     let (previous, current) = (incarnation(1), incarnation(2));
@@ -156,7 +156,8 @@
 #[test]
 fn drain_statements_of_two_replaced_fleets_are_kept_and_no_more() {
     let mut notices = BackEndNotices::default();
-    let incarnation = |number: u64| BackEndId::of_life(back_end(1, None).id.name().clone(), Some(StartMoment(number)));
+    let incarnation =
+        |number: u64| BackEndId::of_incarnation(back_end(1, None).id.name().clone(), Some(StartMoment(number)));
     let (of_the_design, two_fleets) = (4_100, 8_192);
     for number in 0..=two_fleets {
         notices.record(&incarnation(number), DRAINING, START);
@@ -263,7 +264,7 @@
     let mut notices = BackEndNotices::default();
     let id = |number: u64| {
         let name = BackEndName::new(format!("{number:0100}"));
-        BackEndId::of_life(name, Some(StartMoment(number)))
+        BackEndId::of_incarnation(name, Some(StartMoment(number)))
     };
     (0..20).for_each(|number| {
         notices.record(&id(number), DRAINING, after(number));
--- a/crates/core/tests/back_ends_histories.rs
+++ b/crates/core/tests/back_ends_histories.rs
@@ -41,7 +41,7 @@
 
 fn incarnation(number: u8, started: u64, state: BackEndState) -> BackEnd {
     let name = BackEndName::new(format!("engine-{number}"));
-    BackEnd { id: BackEndId::of_life(name, Some(StartMoment(started))), state, ..back_end(number, None) }
+    BackEnd { id: BackEndId::of_incarnation(name, Some(StartMoment(started))), state, ..back_end(number, None) }
 }
 
 #[derive(Clone, Default)]
--- a/crates/core/tests/back_ends_of_an_older_copy.rs
+++ b/crates/core/tests/back_ends_of_an_older_copy.rs
@@ -149,7 +149,7 @@
 #[test]
 fn the_previous_incarnation_in_the_snapshot_is_unusable_and_the_current_one_usable_once_written_again() {
     let incarnation = |started| BackEnd {
-        id: BackEndId::of_life(BackEndName::new("engine-1"), Some(StartMoment(started))),
+        id: BackEndId::of_incarnation(BackEndName::new("engine-1"), Some(StartMoment(started))),
         ..ready(1)
     };
     let mut directory = Directory::new();
--- a/crates/core/tests/dispatch_support/engine.rs
+++ b/crates/core/tests/dispatch_support/engine.rs
@@ -123,7 +123,7 @@
             requests => self.performance.step_time_of(requests as u32),
         };
         let piece = prefills.map_or(0, |(_, tokens)| tokens);
-        Some((generation + self.performance.read_time(piece)).mul_f64(self.slowdown))
+        Some((generation + self.performance.prefill_time(piece)).mul_f64(self.slowdown))
     }
 
     pub fn finish_step(&mut self) -> Vec<StepResult> {
--- a/crates/rehearsal/src/engine/model/batch.rs
+++ b/crates/rehearsal/src/engine/model/batch.rs
@@ -180,5 +180,5 @@
 
 fn step_duration(performance: &EnginePerformance, reads: u32, generating: u32) -> Duration {
     let generation = if generating == 0 { Duration::ZERO } else { performance.step_time_of(generating) };
-    performance.read_time(reads) + generation
+    performance.prefill_time(reads) + generation
 }
--- a/crates/relay/src/cache_survey.rs
+++ b/crates/relay/src/cache_survey.rs
@@ -84,7 +84,7 @@
         return None;
     }
     let report = traffic.protocol.read_cached_parts(&body)?;
-    if !engine.id.may_be_life_of(report.started) {
+    if !engine.id.may_be_same_incarnation(report.started) {
         log::info!(event = "engine_is_another_life", back_end:% = engine.id, told_by = "kept_parts"; "");
         return None;
     }
--- a/crates/relay/src/control/stages/engine_orders.rs
+++ b/crates/relay/src/control/stages/engine_orders.rs
@@ -58,7 +58,7 @@
             // No order is sent: an engine that does not report may be gone or unreachable.
             Ok(None) | Err(_) => return OrderAnswer::NotSent,
         };
-        if !order.engine.id.may_be_life_of(report.started) {
+        if !order.engine.id.may_be_same_incarnation(report.started) {
             // The decision was made for a previous incarnation. It is made again for this one once the directory lists
             // it.
             log::info!(event = "engine_is_another_life", back_end:% = order.engine.id, told_by = "report"; "");
--- a/crates/relay/tests/learner.rs
+++ b/crates/relay/tests/learner.rs
@@ -64,7 +64,7 @@
 
 fn incarnation(started: u64) -> BackEnd {
     BackEnd {
-        id: BackEndId::of_life(BackEndName::new("engine-1"), Some(StartMoment(started))),
+        id: BackEndId::of_incarnation(BackEndName::new("engine-1"), Some(StartMoment(started))),
         service: "model".into(),
         address: Address(SocketAddr::from(([10, 0, 0, 1], 80))),
         zone: "zone".into(),
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -114,7 +114,7 @@
 }
 
 fn back_end_id() -> BackEndId {
-    BackEndId::of_life(BackEndName::new("engine-a"), Some(StartMoment(1_700_000_000_123)))
+    BackEndId::of_incarnation(BackEndName::new("engine-a"), Some(StartMoment(1_700_000_000_123)))
 }
 
 fn tag(number: u32) -> EngineTag {
