--- a/crates/core/src/policy/catalogue.rs
+++ b/crates/core/src/policy/catalogue.rs
@@ -1,4 +1,4 @@
-//! The policies that exist, as operators are told of them.
+//! The catalogue of policies that is shown to operators.
 
 use super::parameters::Parameter;
 use super::placement_by_name::PREFIX_AFFINITY_PARAMETERS;
@@ -10,13 +10,13 @@
 pub struct PolicyEntry {
     /// The policy's name.
     pub name: &'static str,
-    /// What it does, in a sentence.
+    /// A one-sentence description.
     pub summary: &'static str,
-    /// The parameters that it takes.
+    /// The parameters that the policy accepts.
     pub parameters: &'static [Parameter],
 }
 
-/// The placement policies, in the order of their names.
+/// The placement policies, ordered by name.
 pub const PLACEMENT_POLICIES: [PolicyEntry; 5] = [
     PolicyEntry {
         name: "cost",
@@ -41,7 +41,7 @@
     PolicyEntry { name: "round_robin", summary: "takes engines in turn, whatever their load", parameters: &[] },
 ];
 
-/// The role policies, in the order of their names.
+/// The role policies, ordered by name.
 pub const ROLE_POLICIES: [PolicyEntry; 4] = [
     PolicyEntry {
         name: "hysteresis",
--- a/crates/core/src/policy/demand.rs
+++ b/crates/core/src/policy/demand.rs
@@ -8,69 +8,69 @@
 use crate::time::Timestamp;
 use crate::world::{Contract, ContractName, EnginePerformance};
 
-/// Rates are averaged over about this time, so that a policy sees a shift of the mix within seconds.
+/// Averaging window of the rates; it lets a policy detect a shift in the request mix within seconds.
 const RATE_WINDOW: Duration = Duration::from_secs(10);
-/// How much each finished answer moves the estimate of how long answers are.
+/// Weight of each finished answer in the moving average of the answer length.
 const OUTPUT_SMOOTHING: f64 = 0.05;
-/// A contract with a smaller share of the output doesn't set the token interval of the pool.
+/// A contract with a smaller share of the output is ignored for the pool's token interval.
 const CONTRACT_SHARE_MINIMUM: f64 = 0.05;
 
-/// A rate of something that comes in lumps, averaged with exponentially falling weight.
+/// The rate of discrete amounts, averaged with exponentially decaying weights.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingRate {
     window: Duration,
     amount: f64,
-    started: Option<Timestamp>,
-    updated: Timestamp,
+    first_added: Option<Timestamp>,
+    last_added: Timestamp,
 }
 
 impl DecayingRate {
-    /// A rate averaged over about `window`.
+    /// Creates a rate averaged over about `window`.
     pub fn new(window: Duration) -> Self {
-        DecayingRate { window, amount: 0.0, started: None, updated: Timestamp::ZERO }
+        DecayingRate { window, amount: 0.0, first_added: None, last_added: Timestamp::ZERO }
     }
 
-    /// Notes that `amount` came at `now`.
+    /// Adds `amount` at `now`.
     pub fn add(&mut self, amount: f64, now: Timestamp) {
-        self.amount = self.amount_at(now) + amount;
-        self.started = self.started.or(Some(now));
-        self.updated = self.updated.max(now);
+        self.amount = self.decayed_amount(now) + amount;
+        self.first_added = self.first_added.or(Some(now));
+        self.last_added = self.last_added.max(now);
     }
 
-    /// The rate a second. In the first moments it is an average over the time since the first amount, but at least over
-    /// a tenth of the window.
+    /// The rate per second. Before a full window has passed it is averaged over the time since the first amount, but at
+    /// least over a tenth of the window.
     pub fn per_second(&self, now: Timestamp) -> f64 {
-        let Some(started) = self.started else { return 0.0 };
+        let Some(first_added) = self.first_added else { return 0.0 };
         let window = self.window.as_secs_f64();
-        let seen = now.since(started).as_secs_f64().max(window / 10.0);
-        self.amount_at(now) / (window * (1.0 - (-seen / window).exp()))
+        let elapsed = now.since(first_added).as_secs_f64().max(window / 10.0);
+        self.decayed_amount(now) / (window * (1.0 - (-elapsed / window).exp()))
     }
 
-    fn amount_at(&self, now: Timestamp) -> f64 {
-        let idle = now.since(self.updated).as_secs_f64();
+    fn decayed_amount(&self, now: Timestamp) -> f64 {
+        let idle = now.since(self.last_added).as_secs_f64();
         self.amount * (-idle / self.window.as_secs_f64()).exp()
     }
 }
 
-/// Work that waits or runs in a pool.
+/// Work waiting or running in a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolBacklog {
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens waiting for prefill.
     pub prefill_tokens: u64,
     /// Output tokens that requests may still generate, running and waiting.
     pub decode_tokens_allowed: u64,
 }
 
-/// What control says of a pool when it asks for its demand.
+/// What the control loop supplies about a pool when it queries the demand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolLimits {
-    /// Engines by their present role; engines that are changing count under their new role.
+    /// Engines by current role; engines whose role is changing count under their new role.
     pub roles: RoleCounts,
-    /// The fewest engines that must serve prompt work.
+    /// The minimum number of engines that must serve prefill.
     pub prefill_floor: u16,
-    /// The fewest engines that must serve generation.
+    /// The minimum number of engines that must serve decode.
     pub decode_floor: u16,
-    /// What one engine can do.
+    /// The performance of one engine.
     pub performance: EnginePerformance,
 }
 
@@ -80,13 +80,13 @@
     output_tokens: DecayingRate,
 }
 
-/// Builds a [`PoolDemand`] from arrivals and answers. Refused requests count too: they are demand.
+/// Computes a [`PoolDemand`] from arrivals and answers. Refused requests are part of the demand.
 #[derive(Clone, Debug)]
 pub struct DemandTracker {
     prefill_tokens: DecayingRate,
     output_tokens: DecayingRate,
     by_contract: BTreeMap<ContractName, ContractDemand>,
-    /// Tokens of an answer as a share of those allowed.
+    /// Moving average of output tokens per answer, as a share of the tokens allowed.
     output_share: f64,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl DemandTracker {
-    /// Notes that a request arrived, of whose prompt `uncached_tokens` have to be read.
+    /// Records the arrival of a request whose prompt has `uncached_tokens` left to prefill.
     pub fn record_arrival(
         &mut self,
         request: &RequestProfile,
@@ -114,25 +114,25 @@
         self.prefill_tokens.add(f64::from(uncached_tokens), now);
         self.output_tokens.add(output_tokens, now);
         let Some(contract) = contract else { return };
-        let new =
+        let no_demand =
             ContractDemand { token_interval: contract.token_interval, output_tokens: DecayingRate::new(RATE_WINDOW) };
-        let demand = self.by_contract.entry(contract.name.clone()).or_insert(new);
+        let demand = self.by_contract.entry(contract.name.clone()).or_insert(no_demand);
         demand.token_interval = contract.token_interval;
         demand.output_tokens.add(output_tokens, now);
     }
 
-    /// Notes that a whole answer had `tokens` of the `allowed` ones.
+    /// Records that a complete answer had `tokens` of the `allowed` output tokens.
     pub fn record_answer(&mut self, tokens: u32, allowed: u32) {
         let share = (f64::from(tokens) / f64::from(allowed.max(1))).min(1.0);
         self.output_share += OUTPUT_SMOOTHING * (share - self.output_share);
     }
 
-    /// Tokens that answers are expected to have, as a share of those allowed.
+    /// The expected number of output tokens per answer, as a share of the tokens allowed.
     pub fn output_share(&self) -> f64 {
         self.output_share
     }
 
-    /// The demand now.
+    /// The demand at `now`.
     pub fn demand(&self, limits: &PoolLimits, backlog: PoolBacklog, now: Timestamp) -> PoolDemand {
         PoolDemand {
             roles: limits.roles,
@@ -148,11 +148,11 @@
         }
     }
 
-    /// The shortest token interval among contracts that matter now.
+    /// The shortest token interval among contracts with at least [`CONTRACT_SHARE_MINIMUM`] of the output at `now`.
     fn token_interval(&self, now: Timestamp) -> Duration {
         let share_minimum = CONTRACT_SHARE_MINIMUM * self.output_tokens.per_second(now);
-        let matters = |demand: &&ContractDemand| demand.output_tokens.per_second(now) >= share_minimum;
-        let intervals = self.by_contract.values().filter(matters).map(|demand| demand.token_interval);
+        let is_significant = |demand: &&ContractDemand| demand.output_tokens.per_second(now) >= share_minimum;
+        let intervals = self.by_contract.values().filter(is_significant).map(|demand| demand.token_interval);
         intervals.min().unwrap_or(Duration::MAX)
     }
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Policies: how requests are placed on engines, and how engines get their roles.
+//! Policies that place requests on engines and assign roles to engines.
 //!
-//! Both kinds stand behind a trait and are created by name from configuration, so that operators can swap them and
-//! compare them under the same live traffic.
+//! Each kind has a trait and is created by name from configuration, so that operators can exchange policies and compare
+//! them under the same live traffic.
 
 mod catalogue;
 mod cost;
@@ -33,9 +33,9 @@
 pub enum PolicyError {
     /// unknown policy `{name}`; known policies: {known}
     UnknownName {
-        /// The name that was asked for.
+        /// The requested name.
         name: String,
-        /// The names that exist, with commas.
+        /// The existing names, separated by commas.
         known: String,
     },
     /// policy `{policy}` has no parameter `{parameter}`; known parameters: {known}
@@ -44,7 +44,7 @@
         policy: String,
         /// The parameter that was given.
         parameter: String,
-        /// The parameters that exist, with commas.
+        /// The existing parameters, separated by commas.
         known: String,
     },
     /// parameter `{parameter}` of policy `{policy}` is {value}; allowed: {allowed}
@@ -55,7 +55,7 @@
         parameter: String,
         /// The value that was given.
         value: f64,
-        /// The allowed range, in words.
+        /// The allowed range as text.
         allowed: String,
     },
 }
--- a/crates/core/src/policy/parameters.rs
+++ b/crates/core/src/policy/parameters.rs
@@ -1,20 +1,20 @@
-//! Reads a policy's parameters from configuration: known names only, each within its range.
+//! Reads a policy's parameters from configuration and checks their names and ranges.
 
 use super::PolicyError;
 use crate::configuration::PolicyChoice;
 
-/// A parameter that a policy takes.
+/// A parameter of a policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Parameter {
-    /// The parameter's name in configuration; it ends in the unit, unless it is a share or a plain weight.
+    /// The parameter's name in configuration; it ends in the unit unless the value is a share or a weight.
     pub name: &'static str,
-    /// The value when configuration gives none.
+    /// The value that applies when configuration sets none.
     pub default: f64,
     /// The lowest value allowed.
     pub minimum: f64,
     /// The highest value allowed.
     pub maximum: f64,
-    /// What the parameter does, in words.
+    /// A description of the parameter.
     pub meaning: &'static str,
 }
 
@@ -27,8 +27,8 @@
         Parameter { meaning, ..self }
     }
 
-    /// The value that `choice` gives. [`check`] has to have been called with this parameter.
-    pub(super) fn of(&self, choice: &PolicyChoice) -> f64 {
+    /// The value set in `choice`, or the default. The caller must have validated `choice` with [`check`].
+    pub(super) fn value_in(&self, choice: &PolicyChoice) -> f64 {
         choice.parameters.get(self.name).copied().unwrap_or(self.default)
     }
 }
@@ -37,7 +37,7 @@
 pub(super) fn check(choice: &PolicyChoice, known: &[Parameter]) -> Result<(), PolicyError> {
     for (name, &value) in &choice.parameters {
         let Some(parameter) = known.iter().find(|parameter| parameter.name == name) else {
-            return Err(unknown(choice, name, known));
+            return Err(unknown_parameter(choice, name, known));
         };
         if !(parameter.minimum..=parameter.maximum).contains(&value) {
             return Err(PolicyError::ParameterOutOfRange {
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-fn unknown(choice: &PolicyChoice, name: &str, known: &[Parameter]) -> PolicyError {
+fn unknown_parameter(choice: &PolicyChoice, name: &str, known: &[Parameter]) -> PolicyError {
     let names: Vec<&str> = known.iter().map(|parameter| parameter.name).collect();
     PolicyError::UnknownParameter {
         policy: choice.name.to_string(),
--- a/crates/core/src/policy/placement_by_name.rs
+++ b/crates/core/src/policy/placement_by_name.rs
@@ -1,4 +1,4 @@
-//! The placement policies that configuration can name.
+//! Placement policies that can be selected by name in configuration.
 
 use fastrand::Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -13,16 +13,16 @@
 use crate::world::EngineName;
 
 const KNOWN: &str = "cost, least_loaded, power_of_two, prefix_affinity, round_robin";
-/// An engine with fewer requests is never too busy to be taken for its cache.
+/// An engine with fewer requests than this may always be chosen for its cache.
 const LOAD_LIMIT_MINIMUM: u32 = 4;
 const LOAD_BOUND: Parameter = Parameter::new("load_bound", 0.25, 0.0, 10.0)
     .meaning("share by which an engine may exceed the mean number of requests to be taken for its cache");
 pub(super) const PREFIX_AFFINITY_PARAMETERS: [Parameter; 1] = [LOAD_BOUND];
 
-/// Creates the placement policy that `choice` names. `seed` makes its random choices repeatable.
+/// Creates the placement policy named by `choice`. `seed` makes its random choices reproducible.
 ///
 /// # Errors
-/// When the name or a parameter is unknown or out of range.
+/// Returns an error if the name or a parameter is unknown, or a value is out of range.
 pub fn placement_policy(choice: &PolicyChoice, seed: u64) -> Result<Box<dyn PlacementPolicy>, PolicyError> {
     match choice.name.as_str() {
         "cost" => Ok(Box::new(Cost::from_choice(choice)?)),
@@ -42,7 +42,7 @@
     Ok(Box::new(policy))
 }
 
-/// How busy an engine is: requests first, then unread prompt tokens.
+/// The sort key for load: requests first, then prompt tokens waiting for prefill.
 fn load(engine: &EngineView) -> (u32, u32) {
     (engine.running, engine.waiting_prefill_tokens)
 }
@@ -51,7 +51,7 @@
     (0..candidates.len()).min_by_key(|&index| load(&candidates[index]))
 }
 
-/// Takes the engine with the fewest requests.
+/// Chooses the engine with the fewest requests.
 struct LeastLoaded;
 
 impl PlacementPolicy for LeastLoaded {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Takes engines in turn, whatever their load.
+/// Chooses engines in turn, regardless of load.
 struct RoundRobin {
     last: Option<EngineName>,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Draws two engines and takes the one with fewer requests.
+/// Draws two engines at random and chooses the one with fewer requests.
 struct PowerOfTwo {
     random: Rng,
 }
@@ -90,7 +90,7 @@
     }
 }
 
-/// Takes the engine that has most of the prompt cached, unless it is much busier than the others.
+/// Chooses the engine with the longest cached prefix of the prompt, unless its load is far above the mean.
 struct PrefixAffinity {
     load_bound: f64,
 }
@@ -98,10 +98,11 @@
 impl PrefixAffinity {
     fn from_choice(choice: &PolicyChoice) -> Result<Self, PolicyError> {
         check(choice, &PREFIX_AFFINITY_PARAMETERS)?;
-        Ok(PrefixAffinity { load_bound: LOAD_BOUND.of(choice) })
+        Ok(PrefixAffinity { load_bound: LOAD_BOUND.value_in(choice) })
     }
 
-    /// The requests from which on an engine isn't taken for its cache: the mean and a share more.
+    /// The number of running requests at which an engine is no longer chosen for its cache: the mean plus a share of
+    /// it.
     fn load_limit(&self, candidates: &[EngineView]) -> u32 {
         let total: u32 = candidates.iter().map(|engine| engine.running).sum();
         let mean = f64::from(total + 1) / candidates.len().max(1) as f64;
@@ -114,15 +115,15 @@
         let load_limit = self.load_limit(candidates);
         let within_bound = |&index: &usize| candidates[index].running < load_limit;
         let preference =
-            |&index: &usize| (candidates[index].cached_prefix_tokens, rendezvous(request, &candidates[index]));
+            |&index: &usize| (candidates[index].cached_prefix_tokens, rendezvous_hash(request, &candidates[index]));
         let preferred = (0..candidates.len()).filter(within_bound).max_by_key(preference);
         preferred.or_else(|| index_of_least_loaded(candidates))
     }
 }
 
-/// Ranks engines for prompts that start alike, so that the first requests of a prefix meet at one engine even before
-/// its cache is known.
-fn rendezvous(request: &RequestProfile, engine: &EngineView) -> u64 {
+/// Rendezvous hash of the prompt's first block and the engine. Requests with the same prefix rank the engines alike, so
+/// they go to one engine even before its cache contents are known.
+fn rendezvous_hash(request: &RequestProfile, engine: &EngineView) -> u64 {
     let prefix = request.blocks.first().map_or(request.id.0 as u64, |block| block.0);
     xxh3_64_with_seed(engine.name.as_str().as_bytes(), prefix)
 }
--- a/crates/core/src/policy/role_by_name.rs
+++ b/crates/core/src/policy/role_by_name.rs
@@ -1,4 +1,4 @@
-//! The role policies that configuration can name.
+//! Role policies that can be selected by name in configuration.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const KNOWN: &str = "hysteresis, predictive, reactive, static";
 pub(super) const DRAIN: Parameter =
     Parameter::new("drain_seconds", 10.0, 1.0, 600.0).meaning("seconds over which waiting work counts as demand");
-pub(super) const ENOUGH: Parameter =
+pub(super) const ENOUGH_HEADROOM: Parameter =
     Parameter::new("enough_headroom", 1.3, 1.0, 16.0).meaning("headroom beyond which more counts for nothing");
 const GAIN: Parameter =
     Parameter::new("gain", 0.1, 0.0, 10.0).meaning("least relative gain in headroom that is worth a change");
@@ -25,13 +25,14 @@
     .meaning("seconds within which the gain has to make up for the engines' time out of service");
 pub(super) const CHANGE_COST: Parameter = Parameter::new("change_cost", 1.0, 0.0, 100.0)
     .meaning("cost of an engine's second out of service, as a multiple of what it serves in a second");
-pub(super) const REACTIVE_PARAMETERS: [Parameter; 2] = [DRAIN, ENOUGH];
-pub(super) const HYSTERESIS_PARAMETERS: [Parameter; 7] = [DRAIN, ENOUGH, GAIN, HOLD, DWELL, PAYBACK, CHANGE_COST];
+pub(super) const REACTIVE_PARAMETERS: [Parameter; 2] = [DRAIN, ENOUGH_HEADROOM];
+pub(super) const HYSTERESIS_PARAMETERS: [Parameter; 7] =
+    [DRAIN, ENOUGH_HEADROOM, GAIN, HOLD, DWELL, PAYBACK, CHANGE_COST];
 
-/// Creates the role policy that `choice` names.
+/// Creates the role policy named by `choice`.
 ///
 /// # Errors
-/// When the name or a parameter is unknown or out of range.
+/// Returns an error if the name or a parameter is unknown, or a value is out of range.
 pub fn role_policy(choice: &PolicyChoice) -> Result<Box<dyn RolePolicy>, PolicyError> {
     match choice.name.as_str() {
         "hysteresis" => Ok(Box::new(Hysteresis::from_choice(choice)?)),
@@ -42,12 +43,12 @@
     }
 }
 
-/// The duration that a parameter in seconds gives.
+/// The value of a parameter in seconds, as a duration.
 pub(super) fn duration_of(parameter: Parameter, choice: &PolicyChoice) -> Duration {
-    Duration::from_secs_f64(parameter.of(choice))
+    Duration::from_secs_f64(parameter.value_in(choice))
 }
 
-/// Keeps the roles as they are.
+/// Never changes roles.
 struct Static;
 
 impl RolePolicy for Static {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Takes the roles with the most headroom for the demand of the moment, whatever the change costs.
+/// Chooses the roles with the most headroom for the current demand, regardless of the cost of the change.
 struct Reactive {
     drain: Duration,
     enough_headroom: f64,
@@ -65,7 +66,7 @@
 impl Reactive {
     fn from_choice(choice: &PolicyChoice) -> Result<Self, PolicyError> {
         check(choice, &REACTIVE_PARAMETERS)?;
-        Ok(Reactive { drain: duration_of(DRAIN, choice), enough_headroom: ENOUGH.of(choice) })
+        Ok(Reactive { drain: duration_of(DRAIN, choice), enough_headroom: ENOUGH_HEADROOM.value_in(choice) })
     }
 }
 
@@ -75,22 +76,22 @@
     }
 }
 
-/// Changes roles only when the present ones have fallen short for a while, the change pays for itself, and the last
-/// change is long enough ago.
+/// Changes roles only if the headroom gain has lasted for `hold`, outweighs the cost of the change, and at least
+/// `dwell` has passed since the last change.
 struct Hysteresis {
     drain: Duration,
     enough_headroom: f64,
-    /// The least relative gain in headroom.
+    /// The minimum relative gain in headroom for a change.
     gain: f64,
-    /// How long the gain has to last before the change.
+    /// How long the gain must last before the change.
     hold: Duration,
-    /// The least time between two changes.
+    /// The minimum time between two changes.
     dwell: Duration,
-    /// The time within which the gain has to make up for the engines' time out of service.
+    /// The time within which the gain must compensate for the engines' time out of service.
     payback: Duration,
-    /// What a second out of service of an engine costs, as a multiple of what it serves in a second.
+    /// The cost of one second out of service, as a multiple of what an engine serves in one second.
     change_cost: f64,
-    short_since: Option<Timestamp>,
+    gain_since: Option<Timestamp>,
     changed_at: Option<Timestamp>,
 }
 
@@ -99,45 +100,45 @@
         check(choice, &HYSTERESIS_PARAMETERS)?;
         Ok(Hysteresis {
             drain: duration_of(DRAIN, choice),
-            enough_headroom: ENOUGH.of(choice),
-            gain: GAIN.of(choice),
+            enough_headroom: ENOUGH_HEADROOM.value_in(choice),
+            gain: GAIN.value_in(choice),
             hold: duration_of(HOLD, choice),
             dwell: duration_of(DWELL, choice),
             payback: duration_of(PAYBACK, choice),
-            change_cost: CHANGE_COST.of(choice),
-            short_since: None,
+            change_cost: CHANGE_COST.value_in(choice),
+            gain_since: None,
             changed_at: None,
         })
     }
 
-    /// Roles that are worth the change, if there are any.
-    fn worthwhile(&self, demand: &PoolDemand) -> Option<RoleCounts> {
+    /// The target roles, if their benefit exceeds the cost of the change.
+    fn beneficial_target(&self, demand: &PoolDemand) -> Option<RoleCounts> {
         let rates = TokenRates::of(demand, self.drain);
         let target = best_roles(demand, rates, self.enough_headroom);
         let model = PoolModel::of(demand);
-        let present = model.headroom(demand.roles, rates).min(self.enough_headroom);
-        let wanted = model.headroom(target, rates).min(self.enough_headroom);
-        let gains = wanted > present * (1.0 + self.gain);
-        let share_changed = f64::from(demand.roles.changes_to(target)) / f64::from(demand.roles.total().max(1));
-        let benefit = (wanted - present) * self.payback.as_secs_f64();
-        let cost = self.change_cost * share_changed * demand.role_change.as_secs_f64();
-        (gains && benefit > cost).then_some(target)
+        let current_headroom = model.headroom(demand.roles, rates).min(self.enough_headroom);
+        let target_headroom = model.headroom(target, rates).min(self.enough_headroom);
+        let gain_suffices = target_headroom > current_headroom * (1.0 + self.gain);
+        let changed_share = f64::from(demand.roles.changes_to(target)) / f64::from(demand.roles.total().max(1));
+        let benefit = (target_headroom - current_headroom) * self.payback.as_secs_f64();
+        let cost = self.change_cost * changed_share * demand.role_change.as_secs_f64();
+        (gain_suffices && benefit > cost).then_some(target)
     }
 }
 
 impl RolePolicy for Hysteresis {
     fn desired(&mut self, demand: &PoolDemand, now: Timestamp) -> RoleCounts {
-        let Some(target) = self.worthwhile(demand) else {
-            self.short_since = None;
+        let Some(target) = self.beneficial_target(demand) else {
+            self.gain_since = None;
             return demand.roles;
         };
-        let short_since = *self.short_since.get_or_insert(now);
-        let held = now.since(short_since) >= self.hold;
-        let dwelt = self.changed_at.is_none_or(|changed_at| now.since(changed_at) >= self.dwell);
-        if !(held && dwelt) {
+        let gain_since = *self.gain_since.get_or_insert(now);
+        let hold_elapsed = now.since(gain_since) >= self.hold;
+        let dwell_elapsed = self.changed_at.is_none_or(|changed_at| now.since(changed_at) >= self.dwell);
+        if !(hold_elapsed && dwell_elapsed) {
             return demand.roles;
         }
-        self.short_since = None;
+        self.gain_since = None;
         self.changed_at = Some(now);
         target
     }
--- a/crates/core/src/policy/shadow.rs
+++ b/crates/core/src/policy/shadow.rs
@@ -1,4 +1,4 @@
-//! Role policies in shadow: what they would have done under the live demand, without doing it.
+//! Shadow role policies, which are evaluated under the live demand without being applied.
 
 use super::PolicyError;
 use super::role::{PoolDemand, RoleCounts, RolePolicy};
@@ -7,49 +7,49 @@
 use crate::time::Timestamp;
 use crate::world::PolicyName;
 
-/// What a role policy in shadow would have done.
+/// The simulated decisions of a shadow role policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShadowReport {
     /// The policy.
     pub policy: PolicyName,
-    /// The roles that the pool would have by now.
+    /// The roles that the pool would have.
     pub roles: RoleCounts,
-    /// Engines that would have changed their role, each time counted.
+    /// The number of role changes of engines that the policy would have made.
     pub role_changes: u64,
 }
 
-/// Runs a role policy beside the one in force.
+/// Runs a role policy alongside the active one.
 ///
-/// It sees the live arrivals, but its own roles in place of the live ones. What waits is the live backlog, which its
-/// own roles might have kept shorter or let grow: the report says how often it would have changed roles, not what
-/// goodput it would have had.
+/// The policy observes the live arrivals, with its own simulated roles in place of the live ones. The backlog is the
+/// live one, although the simulated roles might have made it shorter or longer. The report therefore shows how often
+/// the policy would have changed roles, not the goodput that it would have reached.
 pub struct ShadowRolePolicy {
     policy: Box<dyn RolePolicy>,
     report: ShadowReport,
 }
 
 impl ShadowRolePolicy {
-    /// The policy that `choice` names, in shadow.
+    /// Creates a shadow of the policy named by `choice`.
     ///
     /// # Errors
-    /// When the name or a parameter is unknown or out of range.
+    /// Returns an error if the name or a parameter is unknown, or a value is out of range.
     pub fn new(choice: &PolicyChoice) -> Result<Self, PolicyError> {
         let report = ShadowReport { policy: choice.name.clone(), roles: RoleCounts::default(), role_changes: 0 };
         Ok(ShadowRolePolicy { policy: role_policy(choice)?, report })
     }
 
-    /// Shows the policy the live demand.
+    /// Evaluates the policy with the live demand and records its decision.
     pub fn observe(&mut self, demand: &PoolDemand, now: Timestamp) {
         if self.report.roles.total() != demand.roles.total() {
             self.report.roles = demand.roles;
         }
-        let own_demand = PoolDemand { roles: self.report.roles, ..*demand };
-        let desired = self.policy.desired(&own_demand, now);
+        let shadow_demand = PoolDemand { roles: self.report.roles, ..*demand };
+        let desired = self.policy.desired(&shadow_demand, now);
         self.report.role_changes += u64::from(self.report.roles.changes_to(desired));
         self.report.roles = desired;
     }
 
-    /// What it would have done so far.
+    /// The simulated decisions so far.
     pub fn report(&self) -> &ShadowReport {
         &self.report
     }
--- a/crates/core/src/policy/trial.rs
+++ b/crates/core/src/policy/trial.rs
@@ -1,4 +1,4 @@
-//! Trials: live traffic split between placement policies, with goodput for each.
+//! Trials split live traffic between placement policies and measure the goodput of each.
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
@@ -10,33 +10,33 @@
 use crate::request::RequestProfile;
 use crate::time::Timestamp;
 
-/// How a request ended, as far as goodput is concerned.
+/// The outcome of a request for the computation of goodput.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer came and met the contract's times.
+    /// The answer was complete and within the contract's times.
     Met,
-    /// The whole answer came too late or too slowly.
+    /// The answer was complete but exceeded the contract's times.
     Missed,
     /// The request did not run.
     NotRun,
-    /// The request may have run, but the answer is cut or lost.
+    /// The request may have run, but the answer was truncated or lost.
     MayHaveRun,
 }
 
-/// What one arm of a trial has done.
+/// Request counts by outcome of one arm of a trial.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ArmOutcomes {
     /// The arm's name.
     pub arm: String,
-    /// Requests of the arm that have ended or were refused.
+    /// Requests of the arm that ended or were refused.
     pub ended: u64,
-    /// Those that completed within their contract.
+    /// Requests that completed within their contract.
     pub met: u64,
-    /// Those that completed outside their contract.
+    /// Requests that completed outside their contract.
     pub missed: u64,
-    /// Those that did not run.
+    /// Requests that did not run.
     pub not_run: u64,
-    /// Those that may have run.
+    /// Requests that may have run.
     pub may_have_run: u64,
 }
 
@@ -58,13 +58,13 @@
     }
 }
 
-/// Splits requests between the arms of a trial by a stable hash, and counts outcomes by arm.
+/// Splits requests between the arms of a trial by a stable hash and counts outcomes per arm.
 ///
-/// The hash covers the tenant and the idempotency key, or the request's identity when it has no key. So each dispatcher
-/// puts a request into the same arm, and so it does with a repeat of a key.
+/// The hash covers the tenant and the idempotency key, or the request's identifier if it has no key. Every dispatcher
+/// therefore assigns a request, and any repeat with the same key, to the same arm.
 pub struct TrialSplitter {
     arms: Vec<Arm>,
-    shares: u64,
+    total_shares: u64,
 }
 
 struct Arm {
@@ -74,22 +74,23 @@
 }
 
 impl TrialSplitter {
-    /// A splitter over `arms`; without arms, the policy `cost` places all requests. An arm with share 0 gets none.
+    /// Creates a splitter over `arms`. An arm with share 0 gets no requests; if all shares are 0 or there are no arms,
+    /// the policy `cost` places all requests.
     ///
     /// # Errors
-    /// When an arm's policy can't be created.
+    /// Returns an error if an arm's policy can't be created.
     pub fn new(arms: &[TrialArm], seed: u64) -> Result<Self, PolicyError> {
         let default_arm = [TrialArm { name: "cost".into(), share: 1, policy: PolicyChoice::with_defaults("cost") }];
-        let nothing_to_split = arms.iter().all(|arm| arm.share == 0);
-        let arms = if nothing_to_split { &default_arm } else { arms };
+        let no_shares = arms.iter().all(|arm| arm.share == 0);
+        let arms = if no_shares { &default_arm } else { arms };
         let arms: Vec<Arm> = arms.iter().map(|arm| Arm::new(arm, seed)).collect::<Result<_, _>>()?;
-        let shares = arms.iter().map(|arm| arm.share).sum();
-        Ok(TrialSplitter { arms, shares })
+        let total_shares = arms.iter().map(|arm| arm.share).sum();
+        Ok(TrialSplitter { arms, total_shares })
     }
 
     /// The index of the arm that places the request.
     pub fn arm_of(&self, request: &RequestProfile) -> usize {
-        let mut position = hash_of(request) % self.shares;
+        let mut position = trial_hash(request) % self.total_shares;
         for (index, arm) in self.arms.iter().enumerate() {
             if position < arm.share {
                 return index;
@@ -110,7 +111,7 @@
     }
 }
 
-fn hash_of(request: &RequestProfile) -> u64 {
+fn trial_hash(request: &RequestProfile) -> u64 {
     let mut bytes = request.tenant.as_str().as_bytes().to_vec();
     bytes.push(0);
     match &request.key {
--- a/crates/core/src/world/address.rs
+++ b/crates/core/src/world/address.rs
@@ -1,4 +1,4 @@
-//! Where a process listens.
+//! The network address on which a process listens.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
-/// An IP number and a port.
+/// An IP address and a port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Address(pub SocketAddr);
--- a/crates/core/src/world/back_end_id.rs
+++ b/crates/core/src/world/back_end_id.rs
@@ -1,4 +1,4 @@
-//! Which life of which back end.
+//! Identifies one incarnation of a back end.
 
 use std::fmt;
 
@@ -7,35 +7,36 @@
 
 use super::names::BackEndName;
 
-/// When a back end started, as it says itself: milliseconds since 1970 by its own time of day.
+/// The start time that a back end announces: milliseconds since 1970 by its own wall clock.
 ///
-/// It tells two lives apart and nothing more. Which of two is the later one is the store's to say: a time of day may have
-/// stepped back between them.
+/// It only distinguishes incarnations and doesn't order them, because the wall clock may have stepped back between two
+/// starts. The store decides which incarnation is the later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StartMoment(pub u64);
 
-/// One life of a back end: its name and its start. Whatever is known of a former life is keyed by another identity, so none of
-/// it holds for the present one.
+/// One incarnation of a back end, identified by name and start time. State of a previous incarnation is keyed by a
+/// different identity, so it never applies to the current one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct BackEndId {
     name: BackEndName,
-    /// `None`: it doesn't say, and then its name alone tells its life.
+    /// `None` if the back end doesn't announce its start; its name alone then identifies the incarnation.
     started: Option<StartMoment>,
 }
 
 impl BackEndId {
-    /// A back end that doesn't say when it started.
+    /// A back end that doesn't announce its start time.
     pub fn new(name: impl Into<String>) -> Self {
         BackEndId { name: BackEndName::new(name), started: None }
     }
 
-    /// The life that began at `started`.
+    /// The incarnation that started at `started`.
     pub fn of_incarnation(name: BackEndName, started: Option<StartMoment>) -> Self {
         BackEndId { name, started }
     }
 
-    /// The back end's name, the same in all its lives: requests name it, so that another back end at the address refuses.
+    /// The back end's name, the same in all its incarnations. Requests carry it, so that another back end at the same
+    /// address refuses them.
     pub fn name(&self) -> &BackEndName {
         &self.name
     }
@@ -45,16 +46,16 @@
         self.name.as_str()
     }
 
-    /// When this life began.
+    /// When this incarnation started.
     pub fn started(&self) -> Option<StartMoment> {
         self.started
     }
 
-    /// Whether what a back end of this name says of itself, having started at `told`, may be said by this life.
-    pub fn may_be_same_incarnation(&self, told: Option<StartMoment>) -> bool {
-        match (self.started, told) {
-            (Some(known), Some(told)) => known == told,
-            // Nothing tells them apart.
+    /// Whether an announcement of a back end of this name that started at `announced` may come from this incarnation.
+    pub fn may_be_same_incarnation(&self, announced: Option<StartMoment>) -> bool {
+        match (self.started, announced) {
+            (Some(known), Some(announced)) => known == announced,
+            // Without both start times the incarnations can't be distinguished.
             (None, _) | (_, None) => true,
         }
     }
--- a/crates/core/src/world/engine.rs
+++ b/crates/core/src/world/engine.rs
@@ -1,4 +1,4 @@
-//! Engines, the roles that they take and the models that they serve.
+//! Engines, their roles and the models that they serve.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use super::address::Address;
 use super::names::{AdapterName, EngineName, ModelName, ZoneName};
 
-/// Which part of a request's work an engine takes.
+/// The part of a request's work that an engine does.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Reads prompts and exports their KV cache.
+    /// Prefills prompts and exports their KV cache.
     Prefill,
     /// Imports KV cache and generates tokens.
     Decode,
@@ -25,7 +25,7 @@
 }
 
 impl EngineRole {
-    /// The stable word for the role in logs and metrics.
+    /// The stable name of the role in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             EngineRole::Prefill => "prefill",
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether an engine of this role takes prompt work.
+    /// Whether an engine of this role prefills prompts.
     pub fn serves_prefill(self) -> bool {
         matches!(self, EngineRole::Prefill | EngineRole::Mixed)
     }
@@ -62,39 +62,39 @@
 #[derive(Clone, Debug, PartialEq, Readable, Writable, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The model's name in requests.
+    /// The model's name as used in requests.
     pub name: ModelName,
-    /// The weights that its engines should have loaded.
+    /// The version of the weights that the engines should have loaded.
     #[serde(default)]
     pub version: ModelVersion,
-    /// The fewest engines that must keep serving prompt work while roles change.
+    /// The minimum number of engines that must serve prefill while roles change.
     #[serde(default = "one")]
     pub prefill_floor: u16,
-    /// The fewest engines that must keep generating tokens while roles change.
+    /// The minimum number of engines that must serve decode while roles change.
     #[serde(default = "one")]
     pub decode_floor: u16,
-    /// What one engine of this model can do; predictions start from it.
+    /// The performance of one engine of this model; predictions start from it.
     #[serde(default)]
     pub performance: EnginePerformance,
 }
 
-/// What one engine can do, as measured by the users; predictions of waiting times start from it.
+/// The performance of one engine as measured by the users; predictions of waiting times start from it.
 #[derive(Clone, Copy, Debug, PartialEq, Readable, Writable, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EnginePerformance {
-    /// Prompt tokens read a second by an engine that does nothing else.
+    /// Prompt tokens per second prefilled by an otherwise idle engine.
     pub prefill_tokens_per_second: f64,
     /// Time of one generation step with a single running request.
     #[serde(with = "humantime_serde")]
     pub step_time: Duration,
-    /// What each further running request adds to the step's time.
+    /// Time that each further running request adds to a step.
     #[serde(with = "humantime_serde")]
     pub step_time_per_request: Duration,
-    /// The most requests that run at once.
+    /// The maximum number of requests that run at once.
     pub batch_maximum: u32,
-    /// Tokens of KV cache, running requests and cached prefixes together.
+    /// KV cache capacity in tokens, shared by running requests and cached prefixes.
     pub kv_capacity_tokens: u32,
-    /// Tokens of KV cache moved a second from one engine to another.
+    /// Tokens of KV cache transferred per second from one engine to another.
     pub kv_transfer_tokens_per_second: f64,
     /// How long an engine is out of service when its role changes.
     #[serde(with = "humantime_serde")]
@@ -116,14 +116,14 @@
 }
 
 impl EnginePerformance {
-    /// Time to read `tokens` of a prompt on an engine that does nothing else.
+    /// Time to prefill `tokens` on an otherwise idle engine.
     pub fn prefill_time(&self, tokens: u32) -> Duration {
-        seconds(f64::from(tokens) / self.prefill_tokens_per_second)
+        bounded_prediction(f64::from(tokens) / self.prefill_tokens_per_second)
     }
 
-    /// Time to move the KV cache of `tokens` from one engine to another.
+    /// Time to transfer the KV cache of `tokens` from one engine to another.
     pub fn transfer_time(&self, tokens: u32) -> Duration {
-        seconds(f64::from(tokens) / self.kv_transfer_tokens_per_second)
+        bounded_prediction(f64::from(tokens) / self.kv_transfer_tokens_per_second)
     }
 
     /// Time of one generation step with `requests` running requests.
@@ -131,25 +131,25 @@
         self.step_time.saturating_add(self.step_time_per_request.saturating_mul(requests.saturating_sub(1)))
     }
 
-    /// Time to generate `tokens`, as a share of a full batch.
+    /// Time to generate `tokens` at the throughput of a full batch.
     pub fn generation_time(&self, tokens: u32) -> Duration {
-        seconds(f64::from(tokens) / self.decode_tokens_per_second())
+        bounded_prediction(f64::from(tokens) / self.decode_tokens_per_second())
     }
 
-    /// Tokens generated a second with a full batch.
+    /// Tokens generated per second with a full batch.
     pub fn decode_tokens_per_second(&self) -> f64 {
         f64::from(self.batch_maximum) / self.step_time_of(self.batch_maximum).as_secs_f64().max(f64::MIN_POSITIVE)
     }
 }
 
-/// The longest predicted time: what can't be predicted, for example at a rate of zero, counts as this.
-const LONGEST_PREDICTION: f64 = 86_400.0;
+/// Upper bound of predicted times, also used when no prediction is possible, for example at a rate of zero.
+const PREDICTION_MAXIMUM_SECONDS: f64 = 86_400.0;
 
-fn seconds(seconds: f64) -> Duration {
+fn bounded_prediction(seconds: f64) -> Duration {
     Duration::from_secs_f64(if seconds.is_finite() {
-        seconds.clamp(0.0, LONGEST_PREDICTION)
+        seconds.clamp(0.0, PREDICTION_MAXIMUM_SECONDS)
     } else {
-        LONGEST_PREDICTION
+        PREDICTION_MAXIMUM_SECONDS
     })
 }
 
@@ -157,22 +157,22 @@
     1
 }
 
-/// An engine of the fixed fleet, with the state that configuration wants it to have.
+/// An engine of the fixed fleet with its desired state from configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
     /// The engine's name, unique in the deployment.
     pub name: EngineName,
-    /// Where the engine's API listens.
+    /// The address of the engine's API.
     pub address: Address,
-    /// The zone that the engine stands in.
+    /// The zone where the engine runs.
     pub zone: ZoneName,
     /// The model that the engine serves.
     pub model: ModelName,
     /// The adapter on top of the model, if any.
     #[serde(default)]
     pub adapter: Option<AdapterName>,
-    /// The role that configuration gives the engine; a role policy other than `static` may change it.
+    /// The configured role; a role policy other than `static` may change it.
     #[serde(default)]
     pub role: EngineRole,
 }
--- a/crates/core/src/world/mod.rs
+++ b/crates/core/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! Objects that mirror the world: regions, zones, machines, links, engines, models, tenants, contracts.
+//! The data model of a deployment: regions, zones, machines, links, engines, models, tenants and contracts.
 
 mod address;
 mod back_end_id;
--- a/crates/core/src/world/names.rs
+++ b/crates/core/src/world/names.rs
@@ -1,4 +1,4 @@
-//! Names of the things in the world, one type each, so that a zone can't be passed where a model is meant.
+//! Names of the objects of a deployment, with a type per kind, so that a zone can't be passed in place of a model.
 
 use std::fmt;
 
@@ -15,7 +15,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a name as it is written in configuration.
+            /// Wraps a name as written in configuration.
             pub fn new(name: impl Into<String>) -> Self {
                 Self(name.into())
             }
@@ -45,11 +45,11 @@
     RegionName
 );
 name_type!(
-    /// A zone: the unit that fails together and inside which nodes probe each other.
+    /// A zone: a failure domain within which nodes probe each other.
     ZoneName
 );
 name_type!(
-    /// A model as callers name it, for example `lekh-model`.
+    /// A model as named in requests, for example `lekh-model`.
     ModelName
 );
 name_type!(
@@ -61,30 +61,31 @@
     EngineName
 );
 name_type!(
-    /// A tenant: one paying or otherwise accountable group of callers.
+    /// A tenant: a group of callers that is billed or otherwise accountable as one.
     TenantName
 );
 name_type!(
-    /// A contract: the class of service that a tenant's requests get.
+    /// A contract: the class of service of a tenant's requests.
     ContractName
 );
 name_type!(
-    /// A role policy or placement policy, as configuration names it.
+    /// A role policy or placement policy, as named in configuration.
     PolicyName
 );
 name_type!(
-    /// A service: back ends that are alike, for example the engines of one model or the processes of one application.
+    /// A service: a set of equivalent back ends, for example the engines of one model or the processes of one
+    /// application.
     ServiceName
 );
 name_type!(
-    /// A route: the requests for one host below one path prefix.
+    /// A route: the requests to one host under one path prefix.
     RouteName
 );
 name_type!(
-    /// A back end, the same in all its lives; another one at its address has another name.
+    /// A back end, the same in all its incarnations; a different back end at the same address has a different name.
     BackEndName
 );
 name_type!(
-    /// A node, as operators call the machine that it runs on.
+    /// A node, named after the machine that it runs on.
     NodeName
 );
--- a/crates/core/src/world/pool.rs
+++ b/crates/core/src/world/pool.rs
@@ -1,8 +1,8 @@
-//! Pools: the groups of engines that one node dispatches for and controls.
+//! Pools: groups of engines, each dispatched to and controlled by one node.
 //!
-//! A pool is the unit of dispatch and of authority. One node owns it: that node knows each engine's in-flight work
-//! exactly, since it placed it, and it alone gives the pool's engines orders, so a role change drains without a
-//! message between nodes. `docs/adr/0001-pools.md` weighs this against a controller for each zone.
+//! A pool is the unit of dispatch and of authority. One node owns it. The owner placed all in-flight work of the
+//! engines, so it knows this work exactly, and only the owner sends orders to the engines, so a role change drains
+//! without messages between nodes. `docs/adr/0001-pools.md` compares this design with one controller per zone.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,16 +14,16 @@
 use super::names::{EngineName, ModelName, RegionName, ZoneName};
 use super::zone::Zone;
 
-/// Identifies a pool. Equal configurations give equal identifiers on every node.
+/// Identifies a pool. All nodes derive the same identifiers from the same configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct PoolId {
     /// The model that all engines of the pool serve.
     pub model: ModelName,
     /// The region of all engines of the pool.
     pub region: RegionName,
-    /// The zone, when the pool lies in one zone only.
+    /// The zone, if the pool is confined to one zone.
     pub zone: Option<ZoneName>,
-    /// Counts the pools of one model in one zone or region.
+    /// The index of the pool among those of its model in the zone or region.
     pub shard: u16,
 }
 
@@ -37,21 +37,22 @@
 /// A pool and its engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// The pool's identity.
+    /// The pool's identifier.
     pub id: PoolId,
-    /// The engines, in the order of their names.
+    /// The engines, ordered by name.
     pub engines: Vec<EngineName>,
-    /// The zones in which the pool's engines stand; only nodes of these zones may own the pool.
+    /// The zones of the pool's engines; only nodes in these zones may own the pool.
     pub zones: Vec<ZoneName>,
 }
 
-/// How engines are grouped into pools.
+/// Rules for grouping engines into pools.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PoolLayout {
-    /// A zone with at least this many engines of a model has pools of its own; the others share one of the region.
+    /// A zone with at least this many engines of a model has its own pools; the engines of smaller zones are grouped
+    /// into pools of the region.
     pub zone_minimum: u16,
-    /// The most engines in one pool; it bounds what one node dispatches for.
+    /// The maximum number of engines in a pool; it limits the dispatch work of one node.
     pub size_maximum: u16,
 }
 
@@ -61,7 +62,7 @@
     }
 }
 
-/// Groups `engines` into pools; the result depends only on the arguments, whatever their order.
+/// Groups `engines` into pools. The result depends only on the arguments, not on the order of their items.
 pub fn group_into_pools(zones: &[Zone], engines: &[Engine], layout: PoolLayout) -> Vec<Pool> {
     let mut by_zone: BTreeMap<(ModelName, RegionName, ZoneName), Vec<&Engine>> = BTreeMap::new();
     for engine in engines {
@@ -71,8 +72,8 @@
     }
     let mut groups: BTreeMap<(ModelName, RegionName, Option<ZoneName>), Vec<&Engine>> = BTreeMap::new();
     for ((model, region, zone), engines) in by_zone {
-        let own_pool = engines.len() >= usize::from(layout.zone_minimum);
-        let key = (model, region, own_pool.then_some(zone));
+        let has_own_pools = engines.len() >= usize::from(layout.zone_minimum);
+        let key = (model, region, has_own_pools.then_some(zone));
         groups.entry(key).or_default().extend(engines);
     }
     groups
@@ -85,7 +86,7 @@
                     zone: zone.clone(),
                     shard: u16::try_from(shard).unwrap_or(u16::MAX),
                 };
-                pool_of(id, &engines)
+                build_pool(id, &engines)
             })
         })
         .collect()
@@ -101,7 +102,7 @@
     split
 }
 
-fn pool_of(id: PoolId, engines: &[&Engine]) -> Pool {
+fn build_pool(id: PoolId, engines: &[&Engine]) -> Pool {
     let mut zones: Vec<ZoneName> = engines.iter().map(|engine| engine.zone.clone()).collect();
     zones.sort();
     zones.dedup();
--- a/crates/core/src/world/zone.rs
+++ b/crates/core/src/world/zone.rs
@@ -1,4 +1,4 @@
-//! Zones, the machines in them and the links between them.
+//! Zones, their machines and the links between zones.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub struct Zone {
     /// The zone's name, unique in the deployment.
     pub name: ZoneName,
-    /// The region that the zone lies in.
+    /// The region that contains the zone.
     pub region: RegionName,
 }
 
@@ -26,7 +26,7 @@
     pub from: ZoneName,
     /// The other end.
     pub to: ZoneName,
-    /// Time for one packet in one direction.
+    /// The latency of a packet in one direction.
     #[serde(with = "humantime_serde")]
     pub latency: Duration,
 }
@@ -35,8 +35,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Where the node listens for its peers, on TCP and UDP.
+    /// The address where the node listens for its peers, on TCP and UDP.
     pub address: Address,
-    /// The zone that the machine stands in.
+    /// The zone of the machine.
     pub zone: ZoneName,
 }
--- a/crates/core/tests/policy_catalogue.rs
+++ b/crates/core/tests/policy_catalogue.rs
@@ -1,14 +1,14 @@
-//! The catalogue of policies tells what configuration can name, no more and no less.
+//! Checks that the policy catalogue lists exactly the policies and parameters that configuration accepts.
 
 use havengate_core::configuration::PolicyChoice;
 use havengate_core::policy::{
     PLACEMENT_POLICIES, PolicyEntry, PolicyError, ROLE_POLICIES, placement_policy, role_policy,
 };
 
-/// Creates a policy and drops it.
-type Create = fn(&PolicyChoice) -> Result<(), PolicyError>;
+/// Creates a policy and discards it.
+type CreatePolicy = fn(&PolicyChoice) -> Result<(), PolicyError>;
 
-fn kinds() -> [(&'static [PolicyEntry], Create); 2] {
+fn policy_kinds() -> [(&'static [PolicyEntry], CreatePolicy); 2] {
     [
         (&PLACEMENT_POLICIES, |choice| placement_policy(choice, 1).map(drop)),
         (&ROLE_POLICIES, |choice| role_policy(choice).map(drop)),
@@ -16,10 +16,10 @@
 }
 
 #[test]
-fn the_names_are_those_that_a_refusal_lists() {
-    for (entries, create) in kinds() {
+fn catalogue_lists_the_names_of_the_unknown_policy_error() {
+    for (entries, create) in policy_kinds() {
         let Err(PolicyError::UnknownName { known, .. }) = create(&PolicyChoice::with_defaults("none such")) else {
-            panic!("an unknown name was taken");
+            panic!("an unknown policy name was accepted");
         };
         let names: Vec<&str> = entries.iter().map(|entry| entry.name).collect();
         assert_eq!(names.join(", "), known);
@@ -27,19 +27,19 @@
 }
 
 #[test]
-fn each_parameter_is_taken_within_its_range_and_refused_beyond() {
-    for (entries, create) in kinds() {
+fn each_parameter_is_accepted_within_its_range_and_refused_above() {
+    for (entries, create) in policy_kinds() {
         for entry in entries {
             for parameter in entry.parameters {
-                let with = |value: f64| {
+                let create_with = |value: f64| {
                     let mut choice = PolicyChoice::with_defaults(entry.name);
                     choice.parameters.insert(parameter.name.to_owned(), value);
                     create(&choice)
                 };
                 for value in [parameter.minimum, parameter.default, parameter.maximum] {
-                    assert_eq!(with(value), Ok(()), "{} {}", entry.name, parameter.name);
+                    assert_eq!(create_with(value), Ok(()), "{} {}", entry.name, parameter.name);
                 }
-                assert!(with(parameter.maximum + 1.0).is_err(), "{} {}", entry.name, parameter.name);
+                assert!(create_with(parameter.maximum + 1.0).is_err(), "{} {}", entry.name, parameter.name);
                 assert!(!parameter.meaning.is_empty(), "{} {}", entry.name, parameter.name);
             }
         }
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn no_parameter_is_left_out() {
-    for (entries, create) in kinds() {
+fn catalogue_lists_the_parameters_of_the_unknown_parameter_error() {
+    for (entries, create) in policy_kinds() {
         for entry in entries {
             let mut choice = PolicyChoice::with_defaults(entry.name);
             choice.parameters.insert("none such".to_owned(), 1.0);
             let Err(PolicyError::UnknownParameter { known, .. }) = create(&choice) else {
-                panic!("{} took an unknown parameter", entry.name);
+                panic!("{} accepted an unknown parameter", entry.name);
             };
             let names: Vec<&str> = entry.parameters.iter().map(|parameter| parameter.name).collect();
             let expected = if names.is_empty() { "none".to_owned() } else { names.join(", ") };
--- a/crates/core/tests/policy_placement.rs
+++ b/crates/core/tests/policy_placement.rs
@@ -1,4 +1,4 @@
-//! Placement policies by name, and the splitting of live traffic between them.
+//! Tests placement policies by name and the split of live traffic between them.
 
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn every_policy_stays_within_the_candidates() {
+fn every_policy_chooses_one_of_the_candidates() {
     for name in ["cost", "least_loaded", "power_of_two", "prefix_affinity", "round_robin"] {
         let mut policy = policy(name);
         for count in 1..6 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn round_robin_takes_engines_in_turn() {
+fn round_robin_chooses_engines_in_turn() {
     let engines: Vec<EngineView> = (0..3).map(engine).collect();
     let mut policy = policy("round_robin");
     let chosen: Vec<usize> = (0..6).map(|_| choose(policy.as_mut(), &engines)).collect();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn prefix_affinity_follows_the_cache_up_to_its_load_bound() {
+fn prefix_affinity_prefers_the_cache_up_to_its_load_bound() {
     let mut engines: Vec<EngineView> = (0..3).map(engine).collect();
     engines[2].cached_prefix_tokens = 3_000;
     assert_eq!(choose(policy("prefix_affinity").as_mut(), &engines), 2);
@@ -99,23 +99,23 @@
 }
 
 #[test]
-fn cost_weighs_waiting_prompts_cache_link_and_streams() {
+fn cost_accounts_for_waiting_prompts_cache_link_and_streams() {
     let mut policy = policy("cost");
-    let unchanged: Vec<EngineView> = (0..2).map(engine).collect();
-    let mut waiting = unchanged.clone();
+    let baseline: Vec<EngineView> = (0..2).map(engine).collect();
+    let mut waiting = baseline.clone();
     waiting[0].prefill_wait = Duration::from_millis(500);
     assert_eq!(choose(policy.as_mut(), &waiting), 1);
-    let mut cached = unchanged.clone();
+    let mut cached = baseline.clone();
     cached[1].cached_prefix_tokens = 3_968;
     assert_eq!(choose(policy.as_mut(), &cached), 1);
-    let mut far = unchanged.clone();
+    let mut far = baseline.clone();
     far[0].link_latency = Duration::from_millis(20);
     assert_eq!(choose(policy.as_mut(), &far), 1);
-    let mut streaming = unchanged.clone();
+    let mut streaming = baseline.clone();
     streaming[0].decoding = 8;
     streaming[0].interference_slack = Duration::from_millis(100);
     streaming[1].prefill_wait = Duration::from_millis(300);
-    assert_eq!(choose(policy.as_mut(), &streaming), 1, "breaking eight streams' interval costs more than 0.3 s");
+    assert_eq!(choose(policy.as_mut(), &streaming), 1, "exceeding eight streams' interval costs more than 0.3 s");
 }
 
 fn arm(name: &str, share: u16) -> TrialArm {
@@ -125,11 +125,11 @@
 #[test]
 fn a_trial_splits_by_share_and_keeps_a_request_in_its_arm() {
     let arms = [arm("cost", 3), arm("round_robin", 1), arm("least_loaded", 0)];
-    let (one, other) = (TrialSplitter::new(&arms, 1).expect("arms"), TrialSplitter::new(&arms, 2).expect("arms"));
+    let (first, second) = (TrialSplitter::new(&arms, 1).expect("arms"), TrialSplitter::new(&arms, 2).expect("arms"));
     let mut counts = [0_u32; 3];
     for id in 0..4_000 {
-        assert_eq!(one.arm_of(&request(id)), other.arm_of(&request(id)));
-        counts[one.arm_of(&request(id))] += 1;
+        assert_eq!(first.arm_of(&request(id)), second.arm_of(&request(id)));
+        counts[first.arm_of(&request(id))] += 1;
     }
     assert!((2_800..3_200).contains(&counts[0]), "{counts:?}");
     assert_eq!(counts[2], 0);
