--- a/crates/core/src/policy/placement_by_name.rs
+++ b/crates/core/src/policy/placement_by_name.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Chooses the engine with the longest cached prefix of the prompt, unless its load is far above the mean.
+/// Chooses the engine with the longest cached prefix of the prompt, unless its load is too far above the mean.
 struct PrefixAffinity {
     load_bound: f64,
 }
@@ -101,8 +101,8 @@
         Ok(PrefixAffinity { load_bound: LOAD_BOUND.value_in(choice) })
     }
 
-    /// The number of running requests at which an engine is no longer chosen for its cache: the mean plus a share of
-    /// it.
+    /// The number of running requests at which an engine is no longer chosen for its cache: the mean plus `load_bound`
+    /// times the mean, but at least [`LOAD_LIMIT_MINIMUM`].
     fn load_limit(&self, candidates: &[EngineView]) -> u32 {
         let total: u32 = candidates.iter().map(|engine| engine.running).sum();
         let mean = f64::from(total + 1) / candidates.len().max(1) as f64;
