--- a/crates/core/src/plan/book.rs
+++ b/crates/core/src/plan/book.rs
@@ -1,5 +1,6 @@
-//! The plans that operators may still confirm, kept in the platform's store so that they outlive the node that made
-//! them. One object holds them all: the store lists no objects and deletes none.
+//! The plans that operators can still confirm. They are kept in the platform's store, so that they remain available
+//! after the node that made them stops. One object holds all plans, because the store can neither list nor delete
+//! objects.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,34 +9,34 @@
 use crate::configuration::PlanId;
 use crate::store::{ObjectKey, OperationId, StoredObject};
 
-/// The name of the plans' object in the store.
+/// The key of the store object that holds the plans.
 pub const PLANS_KEY: &str = "plans";
 
-/// Plans that are kept; the oldest make room for new ones.
+/// The maximum number of plans in the book; adding a plan to a full book removes the oldest one.
 pub const PLANS_MAXIMUM: usize = 16;
 
-/// The plans, oldest first.
+/// The plans that can still be confirmed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanBook {
-    /// The plans.
+    /// The plans, oldest first.
     pub plans: Vec<Plan>,
 }
 
 impl PlanBook {
-    /// The book in the store's object; no object stands for an empty book, and an unreadable one for nothing.
+    /// Parses the book from the store's object. An absent object is an empty book; an unreadable one gives `None`.
     pub fn parse(object: Option<&StoredObject>) -> Option<PlanBook> {
         object.map_or(Some(PlanBook::default()), |object| serde_json::from_str(&object.value).ok())
     }
 
-    /// The plan with this identity.
+    /// Returns the plan with this identifier.
     pub fn find(&self, id: PlanId) -> Option<&Plan> {
         self.plans.iter().find(|plan| plan.id == id)
     }
 
-    /// The book with `plan` in it, and without the oldest plans that find no room.
+    /// Returns the book with `plan` added, without the oldest plans beyond [`PLANS_MAXIMUM`].
     pub fn with(&self, plan: Plan) -> PlanBook {
         let mut plans = self.plans.clone();
-        plans.retain(|known| known.id != plan.id);
+        plans.retain(|existing| existing.id != plan.id);
         plans.push(plan);
         let surplus = plans.len().saturating_sub(PLANS_MAXIMUM);
         plans.drain(..surplus);
@@ -43,30 +44,30 @@
     }
 }
 
-/// The plans' object in the store.
+/// Returns the key of the store object that holds the plans.
 pub fn plans_key() -> ObjectKey {
     ObjectKey(PLANS_KEY.to_owned())
 }
 
-/// Keeping a plan, in progress.
-pub type PlanKeeping = StoreEdit<KeepPlan>;
+/// The edit in progress that adds a plan to the book.
+pub type KeepPlanEdit = StoreEdit<KeepPlan>;
 
-/// What keeping a plan has come to.
+/// The outcome of adding a plan to the book.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeepPlanOutcome {
     /// The plan is in the book.
     Kept,
-    /// What the store holds can't be read: nothing has happened.
+    /// The stored book can't be read; nothing is changed.
     UnreadableBook,
 }
 
-/// Puts a plan into the book.
+/// Adds a plan to the book.
 pub struct KeepPlan {
     plan: Plan,
 }
 
 impl KeepPlan {
-    /// Keeps `plan`.
+    /// Creates the edit that adds `plan`.
     pub fn new(plan: Plan) -> Self {
         KeepPlan { plan }
     }
--- a/crates/core/src/plan/confirmation.rs
+++ b/crates/core/src/plan/confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirming a plan: once only, and only on the version that it was made for.
+//! Confirmation of a plan: at most once, and only on the version that the plan was made for.
 
 use crate::configuration::{ConfigurationRecord, ConfigurationVersion, StageError, configuration_key};
 use crate::store::{ObjectKey, OperationId, StoredObject};
@@ -6,30 +6,30 @@
 use super::plan::Plan;
 use super::store_edit::{Edit, EditDecision, StoreEdit};
 
-/// What an operator's confirmation has come to.
+/// The outcome of an operator's confirmation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfirmationOutcome {
-    /// The plan made this version, now or by an earlier confirmation of the same plan. It is staged, and comes into
-    /// force; the record is for the node's own replica.
+    /// The plan created this version, now or by an earlier confirmation of the same plan. The version is staged and
+    /// takes effect later; the record updates the node's own replica.
     Confirmed {
         /// The version.
         version: ConfigurationVersion,
-        /// The store's record.
+        /// The configuration record in the store.
         record: ConfigurationRecord,
     },
-    /// Another plan was confirmed first: nothing has happened and nothing will.
+    /// Another plan was confirmed first; this plan has no effect, now or later.
     Stale {
-        /// The latest version, to plan for again.
+        /// The latest version, on which a new plan can be made.
         latest: ConfigurationVersion,
     },
-    /// The plan is so old that the store no longer knows whether it was confirmed. Nothing has happened now.
+    /// The plan is so old that the record no longer shows whether it was confirmed. This confirmation has no effect.
     Forgotten {
         /// The latest version.
         latest: ConfigurationVersion,
     },
-    /// Too many versions wait to come into force: nothing has happened.
+    /// Too many staged versions have not taken effect yet; nothing is changed.
     TooManyPending,
-    /// What the store holds can't be read: nothing has happened.
+    /// The stored record can't be read; nothing is changed.
     UnreadableRecord,
 }
 
@@ -42,12 +42,12 @@
 }
 
 impl StagePlan {
-    /// Stages `plan`.
+    /// Creates the edit that stages `plan`.
     pub fn new(plan: Plan) -> Self {
         StagePlan { plan }
     }
 
-    fn decide_on(&self, record: ConfigurationRecord) -> EditDecision<ConfirmationOutcome> {
+    fn decide_for_record(&self, record: ConfigurationRecord) -> EditDecision<ConfirmationOutcome> {
         if let Some(version) = record.version_of(self.plan.id) {
             return EditDecision::Settled(ConfirmationOutcome::Confirmed { version, record });
         }
@@ -59,7 +59,7 @@
             return EditDecision::Settled(ConfirmationOutcome::Forgotten { latest });
         }
         match record.stage(self.plan.id, self.plan.base, self.plan.changes.clone()) {
-            Ok(staged) => write_of(staged),
+            Ok(staged) => write_record(staged),
             Err(StageError::Stale { latest }) => EditDecision::Settled(ConfirmationOutcome::Stale { latest }),
             Err(StageError::TooManyPending { .. }) => EditDecision::Settled(ConfirmationOutcome::TooManyPending),
         }
@@ -78,15 +78,15 @@
     }
 
     fn decide(&self, object: Option<&StoredObject>) -> EditDecision<ConfirmationOutcome> {
-        let Some(object) = object else { return self.decide_on(ConfigurationRecord::default()) };
+        let Some(object) = object else { return self.decide_for_record(ConfigurationRecord::default()) };
         match serde_json::from_str(&object.value) {
-            Ok(record) => self.decide_on(record),
+            Ok(record) => self.decide_for_record(record),
             Err(_) => EditDecision::Settled(ConfirmationOutcome::UnreadableRecord),
         }
     }
 }
 
-fn write_of(record: ConfigurationRecord) -> EditDecision<ConfirmationOutcome> {
+fn write_record(record: ConfigurationRecord) -> EditDecision<ConfirmationOutcome> {
     match serde_json::to_string(&record) {
         Ok(value) => {
             let outcome = ConfirmationOutcome::Confirmed { version: record.latest(), record };
--- a/crates/core/src/plan/intent.rs
+++ b/crates/core/src/plan/intent.rs
@@ -1,4 +1,4 @@
-//! What an operator wants changed, as written in an intent file.
+//! Intents: the changes that an operator requests in an intent file.
 
 use serde::Deserialize;
 
@@ -8,55 +8,55 @@
     TenantLimits, TenantName, ZoneName,
 };
 
-/// An intent: only what is named changes.
+/// An intent. Settings that it does not name stay unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Intent {
-    /// Roles by number, for the engines of a model.
+    /// The number of engines per role, for the engines of a model.
     pub roles: Vec<RoleTarget>,
-    /// Changes of single engines.
+    /// Changes to single engines.
     #[serde(rename = "engine")]
     pub engines: Vec<EngineIntent>,
-    /// Changes of models.
+    /// Changes to models.
     #[serde(rename = "model")]
     pub models: Vec<ModelIntent>,
     /// The role policy.
     pub role_policy: Option<PolicyChoice>,
-    /// The role policies that only report; replaces all of them.
+    /// The role policies that only report; replaces the full list.
     pub shadow_role_policies: Option<Vec<PolicyChoice>>,
-    /// The arms of the placement trial; replaces all of them.
+    /// The arms of the placement trial; replaces the full list.
     #[serde(rename = "arm")]
     pub arms: Option<Vec<TrialArm>>,
-    /// Contracts, new or replaced as a whole.
+    /// New contracts, and complete replacements of existing ones.
     #[serde(rename = "contract")]
     pub contracts: Vec<Contract>,
-    /// Changes of tenants, and new tenants.
+    /// Changes to tenants, and new tenants.
     #[serde(rename = "tenant")]
     pub tenants: Vec<TenantIntent>,
-    /// What is removed.
+    /// Objects to remove.
     pub remove: Removal,
 }
 
-/// How many engines of a model should have which role.
+/// The requested number of engines of a model in each role.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoleTarget {
     /// The model.
     pub model: ModelName,
-    /// Only the engines of this zone.
+    /// Restricts the target to the engines of this zone.
     pub zone: Option<ZoneName>,
-    /// Engines that read prompts only.
+    /// Engines that only run prefill.
     #[serde(default)]
     pub prefill: u16,
-    /// Engines that generate only.
+    /// Engines that only run decode.
     #[serde(default)]
     pub decode: u16,
-    /// Engines that do both.
+    /// Engines that run both.
     #[serde(default)]
     pub mixed: u16,
 }
 
-/// A change of one engine.
+/// A change to one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineIntent {
@@ -64,11 +64,11 @@
     pub name: EngineName,
     /// Its new role.
     pub role: Option<EngineRole>,
-    /// Its new adapter; an empty name drops the adapter.
+    /// Its new adapter; an empty name removes the adapter.
     pub adapter: Option<AdapterName>,
 }
 
-/// A change of one model.
+/// A change to one model.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelIntent {
@@ -76,13 +76,13 @@
     pub name: ModelName,
     /// The version that its engines should load.
     pub version: Option<ModelVersion>,
-    /// The fewest engines that must keep serving prompt work.
+    /// The minimum number of engines that must keep serving prefill.
     pub prefill_floor: Option<u16>,
-    /// The fewest engines that must keep generating tokens.
+    /// The minimum number of engines that must keep serving decode.
     pub decode_floor: Option<u16>,
 }
 
-/// A change of one tenant, or a new tenant, which needs a key and a contract.
+/// A change to one tenant, or a new tenant, which needs a key and a contract.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantIntent {
@@ -96,7 +96,7 @@
     pub limits: Option<TenantLimits>,
 }
 
-/// What an intent removes.
+/// The objects that an intent removes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Removal {
@@ -106,15 +106,16 @@
     pub contracts: Vec<ContractName>,
     /// Engines.
     pub engines: Vec<EngineName>,
-    /// Zones, with their engines and links; this also gives up a zone that is lost for good.
+    /// Zones, with their engines and links. This is also how a permanently lost zone is removed.
     pub zones: Vec<ZoneName>,
 }
 
 impl Intent {
-    /// The configuration that the intent asks for, when `current` is the latest.
+    /// Applies the intent to `current`, the latest configuration, and returns the requested configuration.
     ///
     /// # Errors
-    /// Everything that the intent names and that does not exist. The result still has to be validated as a whole.
+    /// Every name in the intent that does not exist, and every role target whose sum is wrong. The returned
+    /// configuration still has to be validated.
     pub fn apply_to(&self, current: &Configuration) -> Result<Configuration, Vec<ConfigurationError>> {
         let mut desired = current.clone();
         let mut problems = Problems::default();
@@ -122,7 +123,7 @@
         self.models.iter().for_each(|model| model.apply(&mut desired, &mut problems));
         self.roles.iter().for_each(|target| target.apply(&mut desired, &mut problems));
         self.engines.iter().for_each(|engine| engine.apply(&mut desired, &mut problems));
-        self.contracts.iter().for_each(|contract| put_contract(&mut desired, contract));
+        self.contracts.iter().for_each(|contract| upsert_contract(&mut desired, contract));
         self.tenants.iter().for_each(|tenant| tenant.apply(&mut desired, &mut problems));
         self.apply_policies(&mut desired);
         problems.into_result().map(|()| desired)
@@ -224,41 +225,42 @@
 
 impl RoleTarget {
     fn apply(&self, desired: &mut Configuration, problems: &mut Problems) {
-        let concerned =
+        let is_selected =
             |engine: &Engine| engine.model == self.model && self.zone.as_ref().is_none_or(|zone| &engine.zone == zone);
-        let mut engines: Vec<&mut Engine> = desired.engines.iter_mut().filter(|engine| concerned(engine)).collect();
-        let wanted = usize::from(self.prefill) + usize::from(self.decode) + usize::from(self.mixed);
-        if wanted != engines.len() {
+        let mut engines: Vec<&mut Engine> = desired.engines.iter_mut().filter(|engine| is_selected(engine)).collect();
+        let requested = usize::from(self.prefill) + usize::from(self.decode) + usize::from(self.mixed);
+        if requested != engines.len() {
             let allowed = std::iter::once(format!("numbers whose sum is {}", engines.len()));
-            problems.unknown(format!("roles of {}", self.model), wanted, allowed);
+            problems.unknown(format!("roles of {}", self.model), requested, allowed);
             return;
         }
         self.assign(&mut engines);
     }
 
-    /// Keeps as many engines as possible in their roles, and gives the surplus of one role to the others.
+    /// Keeps as many engines as possible in their roles and assigns the surplus engines to the remaining roles.
     fn assign(&self, engines: &mut [&mut Engine]) {
         engines.sort_by(|left, right| left.name.cmp(&right.name));
-        let mut wanted =
+        let mut requested =
             [(EngineRole::Prefill, self.prefill), (EngineRole::Decode, self.decode), (EngineRole::Mixed, self.mixed)];
         let mut surplus = Vec::new();
         for engine in engines {
-            let slot = wanted.iter_mut().find(|(role, left)| *role == engine.role && *left > 0);
+            let slot = requested.iter_mut().find(|(role, remaining)| *role == engine.role && *remaining > 0);
             match slot {
-                Some((_, left)) => *left -= 1,
+                Some((_, remaining)) => *remaining -= 1,
                 None => surplus.push(engine),
             }
         }
-        let open = wanted.into_iter().flat_map(|(role, left)| std::iter::repeat_n(role, left.into()));
-        for (engine, role) in surplus.into_iter().zip(open) {
+        let unfilled_roles =
+            requested.into_iter().flat_map(|(role, remaining)| std::iter::repeat_n(role, remaining.into()));
+        for (engine, role) in surplus.into_iter().zip(unfilled_roles) {
             engine.role = role;
         }
     }
 }
 
-fn put_contract(desired: &mut Configuration, contract: &Contract) {
-    match desired.contracts.iter_mut().find(|known| known.name == contract.name) {
-        Some(known) => known.clone_from(contract),
+fn upsert_contract(desired: &mut Configuration, contract: &Contract) {
+    match desired.contracts.iter_mut().find(|existing| existing.name == contract.name) {
+        Some(existing) => existing.clone_from(contract),
         None => desired.contracts.push(contract.clone()),
     }
 }
--- a/crates/core/src/plan/plan.rs
+++ b/crates/core/src/plan/plan.rs
@@ -1,4 +1,4 @@
-//! What a plan says: the exact changes, the engines that they take out of service, and the effect to be expected.
+//! The content of a plan: the exact changes, the engines that they take out of service, and the predicted effect.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 /// A proposal that takes effect only when it is confirmed, and only while its base version is the latest.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The plan's identity.
+    /// The plan's identifier.
     pub id: PlanId,
     /// The version that the plan was made for.
     pub base: ConfigurationVersion,
     /// The changes against the base version.
     pub changes: Vec<Change>,
-    /// Groups of engines that are changed one group after another, so that floors are kept.
+    /// Groups of engines that are changed one after another, so that the floors are met at all times.
     pub waves: Vec<Wave>,
-    /// What is expected for each model that the changes touch.
+    /// The predicted effect on each model that the changes affect.
     pub effects: Vec<PredictedEffect>,
 }
 
@@ -28,23 +28,23 @@
 pub struct Wave {
     /// The engines.
     pub engines: Vec<EngineOutage>,
-    /// How long the wave takes: its longest outage.
+    /// The duration of the wave: its longest outage.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
 }
 
-/// An engine that a plan takes out of service, after it has finished its streams.
+/// An engine that a plan takes out of service once its open streams are finished.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineOutage {
     /// The engine.
     pub engine: EngineName,
     /// The model that it serves.
     pub model: ModelName,
-    /// The zone that it stands in.
+    /// The zone that it is in.
     pub zone: ZoneName,
-    /// Why.
+    /// Why it goes out of service.
     pub reasons: Vec<OutageReason>,
-    /// How long, as far as is known.
+    /// The estimated duration of the outage.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
 }
@@ -67,7 +67,7 @@
         /// The version after.
         to: ModelVersion,
     },
-    /// It loads another adapter, or drops it.
+    /// It loads another adapter, or unloads its adapter.
     Adapter {
         /// The adapter before.
         from: Option<AdapterName>,
@@ -76,42 +76,43 @@
     },
 }
 
-/// The expected effect on one model's goodput.
+/// The predicted effect on one model's goodput.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PredictedEffect {
     /// The model.
     pub model: ModelName,
-    /// What the prediction rests on.
+    /// The demand that the prediction is based on.
     pub basis: PredictionBasis,
-    /// The share of the demand that the engines can serve now, from 0 to 1.
+    /// The share of the demand that the engines can serve before the changes, from 0 to 1.
     pub before: f64,
-    /// The same while the wave that takes away most is going on.
+    /// The lowest such share during the waves.
     pub during: f64,
-    /// The same once all changes are done.
+    /// The share after all changes.
     pub after: f64,
 }
 
-/// What a prediction rests on.
+/// The demand that a prediction is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PredictionBasis {
-    /// Demand as measured over the last seconds.
+    /// The demand measured over the last seconds.
     Measured(ModelDemand),
-    /// No demand is known: the engines of the base version, fully used at an equal share of prefill and decode time.
+    /// No demand is known. The prediction assumes the demand that fully uses the engines of the base version, with
+    /// equal shares of prefill and decode time.
     Capacity(ModelDemand),
 }
 
 /// Demand on a model.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelDemand {
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub prefill_tokens_per_second: f64,
-    /// Output tokens a second.
+    /// Output tokens per second.
     pub decode_tokens_per_second: f64,
 }
 
-/// The identity of the plan that makes `changes` on `base`; equal on every node.
+/// Computes the identifier of the plan that makes `changes` on `base`; it is the same on every node.
 pub(super) fn plan_id(base: ConfigurationVersion, changes: &[Change]) -> Result<PlanId, serde_json::Error> {
-    let text = serde_json::to_vec(changes)?;
-    Ok(PlanId(xxh3_64_with_seed(&text, base.0)))
+    let serialized = serde_json::to_vec(changes)?;
+    Ok(PlanId(xxh3_64_with_seed(&serialized, base.0)))
 }
--- a/crates/core/src/plan/planner.rs
+++ b/crates/core/src/plan/planner.rs
@@ -1,4 +1,4 @@
-//! From an intent to a plan: a pure function, so that every node gives the same plan for the same intent.
+//! Makes a plan from an intent with a pure function, so that every node makes the same plan for the same intent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,44 +14,44 @@
 /// Settings of the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannerConfig {
-    /// Engines of one model in one zone that may be out of service at once.
-    pub changes_at_once: usize,
-    /// How long an engine is expected to be out of service while it loads a version or an adapter. An assumption, since
-    /// the weight store's rate is not known here.
+    /// The maximum number of engines of one model in one zone that may be out of service at once.
+    pub concurrent_outages_maximum: usize,
+    /// The assumed time that an engine is out of service while it loads a version or an adapter; the planner does not
+    /// know the transfer rate of the weight store.
     pub load_time: Duration,
 }
 
 impl Default for PlannerConfig {
     fn default() -> Self {
-        PlannerConfig { changes_at_once: 1, load_time: Duration::from_secs(30) }
+        PlannerConfig { concurrent_outages_maximum: 1, load_time: Duration::from_secs(30) }
     }
 }
 
-/// Why there is no plan; nothing has happened.
+/// The reason why no plan was made; nothing is changed.
 #[derive(Clone, Debug, Display, PartialEq, thiserror::Error)]
 pub enum PlanError {
-    /// the intent leads to no valid configuration: {0:?}
+    /// the intent results in an invalid configuration: {0:?}
     Invalid(Vec<ConfigurationError>),
     /// the intent changes nothing
     NothingToChange,
-    /// engine `{engine}` can't go out of service without going below a floor of model `{model}`
+    /// engine `{engine}` can't be taken out of service without violating a floor of model `{model}`
     FloorBlocks {
-        /// The first engine that is to change.
+        /// The first engine to be changed.
         engine: EngineName,
         /// Its model.
         model: ModelName,
     },
-    /// the changes can't be applied to the version that they were made from: {0}
+    /// the changes can't be applied to their base version: {0}
     Changes(ChangeError),
-    /// the changes can't be written as text
+    /// the changes can't be serialized
     Unwritable,
 }
 
-/// Makes the plan that fulfils `intent` on `latest`, the configuration with all staged changes. `demand` is what was
-/// measured over the last seconds, as far as known; it only serves the prediction.
+/// Makes the plan that implements `intent` on `latest`, the configuration with all staged changes. `demand` is the
+/// demand measured over the last seconds, where known; only the prediction uses it.
 ///
 /// # Errors
-/// When the intent names unknown things, changes nothing, or leads to a configuration that is not valid.
+/// When the intent names unknown objects, changes nothing, results in an invalid configuration, or a floor blocks it.
 pub fn plan_intent(
     config: &PlannerConfig,
     latest: &VersionedConfiguration,
@@ -62,10 +62,10 @@
     plan_configuration(config, latest, &desired, demand)
 }
 
-/// Makes the plan that leads from `latest` to the configuration `desired`, for example the first one.
+/// Makes the plan that changes `latest` to the configuration `desired`, for example to the first configuration.
 ///
 /// # Errors
-/// When `desired` is not valid or changes nothing.
+/// When `desired` is invalid or changes nothing, or when a floor blocks the changes.
 pub fn plan_configuration(
     config: &PlannerConfig,
     latest: &VersionedConfiguration,
--- a/crates/core/src/plan/prediction.rs
+++ b/crates/core/src/plan/prediction.rs
@@ -1,4 +1,4 @@
-//! The expected effect of a plan on goodput: which share of a demand the engines have the capacity for.
+//! Predicts the effect of a plan on goodput: the share of a demand that the engines have the capacity for.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,23 +6,23 @@
 use crate::configuration::Configuration;
 use crate::world::{EngineName, EnginePerformance, EngineRole, Model, ModelName};
 
-/// Predicts the effect for each model whose engines or figures change.
+/// Predicts the effect on each model whose engines or settings change.
 pub(super) fn predict(
     current: &Configuration,
     desired: &Configuration,
     waves: &[Wave],
     demand: &BTreeMap<ModelName, ModelDemand>,
 ) -> Vec<PredictedEffect> {
-    let touched = desired.models.iter().filter(|model| is_touched(current, desired, model));
-    touched.map(|model| effect(current, desired, waves, demand.get(&model.name).copied(), model)).collect()
+    let affected = desired.models.iter().filter(|model| is_affected(current, desired, model));
+    affected.map(|model| predict_effect(current, desired, waves, demand.get(&model.name).copied(), model)).collect()
 }
 
-fn is_touched(current: &Configuration, desired: &Configuration, model: &Model) -> bool {
+fn is_affected(current: &Configuration, desired: &Configuration, model: &Model) -> bool {
     let same_model = current.models.contains(model);
     !same_model || current.engines_of(&model.name).ne(desired.engines_of(&model.name))
 }
 
-fn effect(
+fn predict_effect(
     current: &Configuration,
     desired: &Configuration,
     waves: &[Wave],
@@ -37,7 +37,7 @@
     let (PredictionBasis::Measured(demand) | PredictionBasis::Capacity(demand)) = basis;
     let share = |roles: &BTreeMap<EngineName, EngineRole>| served_share(roles, &model.performance, demand);
     let roles_after = roles_of(desired, &model.name);
-    let during = lowest_during(&roles_before, &roles_after, waves, share);
+    let during = lowest_share_during_waves(&roles_before, &roles_after, waves, share);
     let (before, after) = (share(&roles_before), share(&roles_after));
     PredictedEffect { model: model.name.clone(), basis, before, during, after }
 }
@@ -46,7 +46,7 @@
     configuration.engines_of(model).map(|engine| (engine.name.clone(), engine.role)).collect()
 }
 
-fn lowest_during(
+fn lowest_share_during_waves(
     before: &BTreeMap<EngineName, EngineRole>,
     after: &BTreeMap<EngineName, EngineRole>,
     waves: &[Wave],
@@ -56,12 +56,12 @@
     roles.retain(|engine, _| after.contains_key(engine));
     let mut lowest = share(&roles);
     for wave in waves {
-        let out: BTreeSet<&EngineName> = wave.engines.iter().map(|outage| &outage.engine).collect();
+        let out_of_service: BTreeSet<&EngineName> = wave.engines.iter().map(|outage| &outage.engine).collect();
         let mut serving = roles.clone();
-        serving.retain(|engine, _| !out.contains(engine));
+        serving.retain(|engine, _| !out_of_service.contains(engine));
         lowest = lowest.min(share(&serving));
         for (engine, role) in &mut roles {
-            if out.contains(engine) {
+            if out_of_service.contains(engine) {
                 *role = after[engine];
             }
         }
@@ -69,12 +69,12 @@
     lowest
 }
 
-/// The share of `demand` that engines with these roles can serve.
+/// Computes the share of `demand` that engines with these roles can serve.
 ///
-/// Mixed engines divide their time freely, so the share is bound by prefill and mixed engines for the prompts, by
-/// decode and mixed engines for the answers, and by all of them for both.
+/// Mixed engines divide their time freely between prefill and decode. So three bounds limit the share: prefill and
+/// mixed engines for prefill, decode and mixed engines for decode, and all engines for the sum of both.
 fn served_share(roles: &BTreeMap<EngineName, EngineRole>, performance: &EnginePerformance, demand: ModelDemand) -> f64 {
-    let count = |wanted: EngineRole| roles.values().filter(|role| **role == wanted).count() as f64;
+    let count = |expected_role: EngineRole| roles.values().filter(|role| **role == expected_role).count() as f64;
     let (prefill, decode, mixed) = (count(EngineRole::Prefill), count(EngineRole::Decode), count(EngineRole::Mixed));
     let prefill_needed = demand.prefill_tokens_per_second / performance.prefill_tokens_per_second;
     let decode_needed = demand.decode_tokens_per_second / decode_tokens_per_second(performance);
@@ -87,7 +87,7 @@
     bounds.into_iter().map(served).fold(1.0, f64::min)
 }
 
-/// Tokens a second from one engine that only generates, with a full batch.
+/// Computes the tokens per second of one engine that only runs decode, with a full batch.
 fn decode_tokens_per_second(performance: &EnginePerformance) -> f64 {
     let batch = f64::from(performance.batch_maximum);
     let step = performance.step_time.as_secs_f64() + performance.step_time_per_request.as_secs_f64() * batch;
--- a/crates/core/src/plan/store_edit.rs
+++ b/crates/core/src/plan/store_edit.rs
@@ -1,6 +1,6 @@
-//! Changing one object of the store by reading it, deciding, and writing by compare-and-set, until it is settled.
+//! Edits one object of the store: reads it, decides, and writes by compare-and-set, until the edit is settled.
 //!
-//! A lost reply is settled by reading back, so an edit must recognise its own earlier success in what it reads.
+//! After a lost reply the object is read again, so an edit must recognise its own earlier write in the object.
 
 use std::time::Duration;
 
@@ -8,44 +8,44 @@
 use crate::store::{ObjectKey, OperationId, Revision, StoreReply, StoreRequest, StoredObject};
 use crate::time::Timestamp;
 
-/// What is to become of an object.
+/// A change to one object of the store.
 pub trait Edit {
-    /// What the edit ends with.
+    /// The outcome of the edit.
     type Outcome: Clone;
 
-    /// The object.
+    /// Returns the key of the object.
     fn key(&self) -> ObjectKey;
 
-    /// The identity of the write, the same for each try.
+    /// Returns the identifier of the write, which is the same for each attempt.
     fn operation(&self) -> OperationId;
 
-    /// What to do about the object as it was read, possibly as it was a while ago.
+    /// Decides on the object that was read; its content may be out of date.
     fn decide(&self, object: Option<&StoredObject>) -> EditDecision<Self::Outcome>;
 }
 
-/// What an [`Edit`] decides.
+/// The decision of an [`Edit`].
 pub enum EditDecision<Outcome> {
     /// Write `value`; the edit ends with `outcome` when the write takes effect.
     Write {
-        /// The new content, JSON text.
+        /// The new content, as JSON.
         value: String,
-        /// What the edit then ends with.
+        /// The outcome when the write takes effect.
         outcome: Outcome,
     },
     /// The edit is settled without a write.
     Settled(Outcome),
-    /// What was read is too old to decide on: read again later.
+    /// The object that was read is too old to decide on; it is read again later.
     ReadAgain,
 }
 
 /// Settings of a [`StoreEdit`].
 #[derive(Clone, Copy, Debug)]
 pub struct StoreEditConfig {
-    /// How long to wait before the next try after a lost reply.
+    /// The delay before the next attempt after a lost reply.
     pub retry_interval: Duration,
-    /// How long a reply is waited for.
+    /// The timeout for one reply of the store.
     pub store_timeout: Duration,
-    /// How long to try in all.
+    /// The time limit for the whole edit.
     pub time_limit: Duration,
 }
 
@@ -59,32 +59,32 @@
     }
 }
 
-/// How a [`StoreEdit`] has ended.
+/// The result of a [`StoreEdit`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreEditEnd<Outcome> {
-    /// It is settled.
+    /// The edit is settled.
     Settled(Outcome),
-    /// The store did not settle it in time.
+    /// The edit was not settled within the time limit.
     GaveUp {
-        /// Whether the write may have taken effect or may still do so; otherwise nothing has happened and nothing will.
+        /// Whether a write may have taken effect or may still do so. If false, nothing is changed, now or later.
         may_take_effect: bool,
     },
 }
 
-/// A request to the store, and the token by which its reply is recognised.
+/// A request to the store, with the token that identifies its reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreCall {
-    /// Comes back with the reply.
+    /// The token that is returned with the reply.
     pub token: StoreToken,
     /// The request.
     pub request: StoreRequest,
 }
 
-/// One edit in progress.
+/// An edit in progress.
 pub struct StoreEdit<E: Edit> {
     config: StoreEditConfig,
     edit: E,
-    gives_up_at: Timestamp,
+    deadline: Timestamp,
     token: StoreToken,
     waiting: Waiting<E::Outcome>,
     may_take_effect: bool,
@@ -99,23 +99,23 @@
 }
 
 impl<E: Edit> StoreEdit<E> {
-    /// Starts the edit: its first request is ready.
+    /// Starts the edit and prepares its first request.
     pub fn new(config: StoreEditConfig, edit: E, now: Timestamp) -> Self {
-        let mut started = StoreEdit {
+        let mut store_edit = StoreEdit {
             config,
             edit,
-            gives_up_at: now + config.time_limit,
+            deadline: now + config.time_limit,
             token: StoreToken::default(),
             waiting: Waiting::BeforeRetry { until: now },
             may_take_effect: false,
             ready: None,
             end: None,
         };
-        started.read(now);
-        started
+        store_edit.prepare_read(now);
+        store_edit
     }
 
-    /// Takes in the store's reply to the call with `token`; replies to earlier calls are dropped.
+    /// Handles the store's reply to the call with `token`; replies to earlier calls are ignored.
     pub fn step(&mut self, token: StoreToken, reply: StoreReply, now: Timestamp) {
         if token != self.token || self.end.is_some() {
             return;
@@ -127,19 +127,19 @@
             (Waiting::ForWrite { .. }, StoreReply::Conflict(object)) => self.decide(object, now),
             (Waiting::ForWrite { .. }, _) => {
                 self.may_take_effect = true;
-                self.wait(now);
+                self.schedule_retry(now);
             }
-            (Waiting::ForRead { .. }, _) => self.wait(now),
+            (Waiting::ForRead { .. }, _) => self.schedule_retry(now),
             (Waiting::BeforeRetry { until }, _) => self.waiting = Waiting::BeforeRetry { until },
         }
     }
 
-    /// Does what is due at `now`.
+    /// Handles the timeouts that are due at `now`.
     pub fn tick(&mut self, now: Timestamp) {
         if self.end.is_some() {
             return;
         }
-        if now >= self.gives_up_at {
+        if now >= self.deadline {
             let writing = matches!(self.waiting, Waiting::ForWrite { .. });
             self.end = Some(StoreEditEnd::GaveUp { may_take_effect: self.may_take_effect || writing });
             return;
@@ -147,26 +147,26 @@
         match self.waiting {
             Waiting::ForWrite { until, .. } if now >= until => {
                 self.may_take_effect = true;
-                self.read(now);
+                self.prepare_read(now);
             }
-            Waiting::ForRead { until } | Waiting::BeforeRetry { until } if now >= until => self.read(now),
+            Waiting::ForRead { until } | Waiting::BeforeRetry { until } if now >= until => self.prepare_read(now),
             _ => {}
         }
     }
 
-    /// When [`tick`](Self::tick) has something to do again; nothing when the edit has ended.
+    /// Returns when [`tick`](Self::tick) is due next, or `None` when the edit has ended.
     pub fn next_tick(&self) -> Option<Timestamp> {
         let (Waiting::ForRead { until } | Waiting::ForWrite { until, .. } | Waiting::BeforeRetry { until }) =
             self.waiting;
-        self.end.is_none().then_some(until.min(self.gives_up_at))
+        self.end.is_none().then_some(until.min(self.deadline))
     }
 
-    /// The next request to the store.
+    /// Takes the next request to send to the store.
     pub fn take_ready(&mut self) -> Option<StoreCall> {
         self.ready.take()
     }
 
-    /// How the edit has ended, if it has.
+    /// Returns the result of the edit once it has ended.
     pub fn end(&self) -> Option<&StoreEditEnd<E::Outcome>> {
         self.end.as_ref()
     }
@@ -174,27 +174,27 @@
     fn decide(&mut self, object: Option<StoredObject>, now: Timestamp) {
         match self.edit.decide(object.as_ref()) {
             EditDecision::Settled(outcome) => self.settle(outcome),
-            EditDecision::ReadAgain => self.wait(now),
+            EditDecision::ReadAgain => self.schedule_retry(now),
             EditDecision::Write { value, outcome } => {
                 let expected = object.map_or(Revision::default(), |object| object.revision);
                 let (key, operation) = (self.edit.key(), self.edit.operation());
-                self.ask(StoreRequest::CompareAndSet { key, expected, operation, value });
+                self.prepare_call(StoreRequest::CompareAndSet { key, expected, operation, value });
                 self.waiting = Waiting::ForWrite { until: now + self.config.store_timeout, outcome };
             }
         }
     }
 
-    fn read(&mut self, now: Timestamp) {
-        self.ask(StoreRequest::Read { key: self.edit.key() });
+    fn prepare_read(&mut self, now: Timestamp) {
+        self.prepare_call(StoreRequest::Read { key: self.edit.key() });
         self.waiting = Waiting::ForRead { until: now + self.config.store_timeout };
     }
 
-    fn ask(&mut self, request: StoreRequest) {
+    fn prepare_call(&mut self, request: StoreRequest) {
         self.token.0 += 1;
         self.ready = Some(StoreCall { token: self.token, request });
     }
 
-    fn wait(&mut self, now: Timestamp) {
+    fn schedule_retry(&mut self, now: Timestamp) {
         self.waiting = Waiting::BeforeRetry { until: now + self.config.retry_interval };
     }
 
--- a/crates/core/src/plan/waves.rs
+++ b/crates/core/src/plan/waves.rs
@@ -1,4 +1,4 @@
-//! Which engines go out of service, in which order.
+//! Determines which engines go out of service, and in which order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::configuration::Configuration;
 use crate::world::{Engine, EngineName, EngineRole, Model, ModelName, ZoneName};
 
-/// The outages that lead from `current` to `desired`, in the order of engines.
+/// Returns the outages needed to change `current` to `desired`, in the order of the engines.
 pub(super) fn outages(config: &PlannerConfig, current: &Configuration, desired: &Configuration) -> Vec<EngineOutage> {
     desired.engines.iter().filter_map(|engine| outage(config, current, desired, engine)).collect()
 }
@@ -37,14 +37,15 @@
         duration += config.load_time;
     }
     let (model, zone) = (engine.model.clone(), engine.zone.clone());
-    let any = !reasons.is_empty();
-    any.then(|| EngineOutage { engine: engine.name.clone(), model, zone, reasons, duration })
+    let has_reasons = !reasons.is_empty();
+    has_reasons.then(|| EngineOutage { engine: engine.name.clone(), model, zone, reasons, duration })
 }
 
-/// Puts the outages into waves: at most so many at once in each model and zone, and never below a floor.
+/// Groups the outages into waves. A wave has at most `concurrent_outages_maximum` outages per model and zone and
+/// violates no floor.
 ///
 /// # Errors
-/// When a floor leaves no engine that could go out of service.
+/// When the floors allow no further engine to go out of service.
 pub(super) fn waves(
     config: &PlannerConfig,
     current: &Configuration,
@@ -53,10 +54,10 @@
 ) -> Result<Vec<Wave>, PlanError> {
     let mut roles: BTreeMap<EngineName, EngineRole> =
         current.engines.iter().map(|engine| (engine.name.clone(), engine.role)).collect();
-    let mut left = outages;
+    let mut remaining = outages;
     let mut waves = Vec::new();
-    while let Some(first) = left.first().cloned() {
-        let (wave, later) = next_wave(config, desired, &roles, left);
+    while let Some(first) = remaining.first().cloned() {
+        let (wave, deferred) = next_wave(config, desired, &roles, remaining);
         if wave.is_empty() {
             return Err(PlanError::FloorBlocks { engine: first.engine, model: first.model });
         }
@@ -67,7 +68,7 @@
         }
         let duration = wave.iter().map(|outage| outage.duration).max().unwrap_or_default();
         waves.push(Wave { engines: wave, duration });
-        left = later;
+        remaining = deferred;
     }
     Ok(waves)
 }
@@ -78,31 +79,34 @@
     roles: &BTreeMap<EngineName, EngineRole>,
     outages: Vec<EngineOutage>,
 ) -> (Vec<EngineOutage>, Vec<EngineOutage>) {
-    let mut at_once: BTreeMap<(ModelName, ZoneName), usize> = BTreeMap::new();
-    let mut out: BTreeSet<EngineName> = BTreeSet::new();
-    let (mut wave, mut later) = (Vec::new(), Vec::new());
+    let mut outages_by_model_and_zone: BTreeMap<(ModelName, ZoneName), usize> = BTreeMap::new();
+    let mut out_of_service: BTreeSet<EngineName> = BTreeSet::new();
+    let (mut wave, mut deferred) = (Vec::new(), Vec::new());
     for outage in outages {
-        let same_place = at_once.entry((outage.model.clone(), outage.zone.clone())).or_default();
-        out.insert(outage.engine.clone());
-        if *same_place < config.changes_at_once && floors_hold(desired, roles, &outage.model, &out) {
-            *same_place += 1;
+        let concurrent_outages =
+            outages_by_model_and_zone.entry((outage.model.clone(), outage.zone.clone())).or_default();
+        out_of_service.insert(outage.engine.clone());
+        if *concurrent_outages < config.concurrent_outages_maximum
+            && floors_are_met(desired, roles, &outage.model, &out_of_service)
+        {
+            *concurrent_outages += 1;
             wave.push(outage);
         } else {
-            out.remove(&outage.engine);
-            later.push(outage);
+            out_of_service.remove(&outage.engine);
+            deferred.push(outage);
         }
     }
-    (wave, later)
+    (wave, deferred)
 }
 
-fn floors_hold(
+fn floors_are_met(
     desired: &Configuration,
     roles: &BTreeMap<EngineName, EngineRole>,
     model: &ModelName,
-    out: &BTreeSet<EngineName>,
+    out_of_service: &BTreeSet<EngineName>,
 ) -> bool {
     let Some(floors) = model_of(desired, model) else { return true };
-    let serving = desired.engines_of(model).filter(|engine| !out.contains(&engine.name));
+    let serving = desired.engines_of(model).filter(|engine| !out_of_service.contains(&engine.name));
     let serving: Vec<EngineRole> = serving.filter_map(|engine| roles.get(&engine.name).copied()).collect();
     let prefill = serving.iter().filter(|role| role.serves_prefill()).count();
     let decode = serving.iter().filter(|role| role.serves_decode()).count();
--- a/crates/core/tests/plan_intent.rs
+++ b/crates/core/tests/plan_intent.rs
@@ -1,4 +1,4 @@
-//! From intents to plans, and the changes that plans are made of.
+//! Tests of the planner: plans made from intents, and the changes that plans consist of.
 
 #[path = "support/configuration_fixture.rs"]
 #[allow(dead_code)]
@@ -27,43 +27,50 @@
     plan_intent(&PlannerConfig::default(), &latest(configuration.clone()), intent, &BTreeMap::new())
 }
 
-fn roles(prefill: u16, decode: u16, mixed: u16) -> Intent {
+fn role_intent(prefill: u16, decode: u16, mixed: u16) -> Intent {
     let model = ModelName::from("lekh-model");
     Intent { roles: vec![RoleTarget { model, zone: None, prefill, decode, mixed }], ..Intent::default() }
 }
 
 #[test]
-fn a_plan_names_the_exact_changes_and_who_goes_out_of_service() {
+fn plan_lists_exact_changes_and_engine_outages() {
     let configuration = fixture::configuration(2, 4);
-    let plan = plan(&configuration, &roles(1, 1, 2)).expect("a plan");
+    let plan = plan(&configuration, &role_intent(1, 1, 2)).expect("a plan");
     assert_eq!(plan.base, ConfigurationVersion(4));
     let changed: Vec<(EngineRole, EngineRole)> = plan.changes.iter().map(role_change).collect();
     assert_eq!(changed, [(EngineRole::Mixed, EngineRole::Prefill), (EngineRole::Mixed, EngineRole::Decode)]);
-    let outages: Vec<Duration> = plan.waves.iter().flat_map(|wave| &wave.engines).map(|out| out.duration).collect();
-    assert_eq!(outages, [Duration::from_secs(4); 2], "the role change takes as long as the model says");
+    let outages: Vec<Duration> =
+        plan.waves.iter().flat_map(|wave| &wave.engines).map(|outage| outage.duration).collect();
+    assert_eq!(
+        outages,
+        [Duration::from_secs(4); 2],
+        "the role change takes the duration that the model's settings give"
+    );
 }
 
 fn role_change(change: &Change) -> (EngineRole, EngineRole) {
     match change {
         Change::Engine(Replacement { from: Some(from), to: Some(to) }) => (from.role, to.role),
-        other => panic!("not a change of a role: {other:?}"),
+        other => panic!("not a role change: {other:?}"),
     }
 }
 
 #[test]
-fn the_same_intent_on_the_same_version_is_the_same_plan_and_on_another_version_is_not() {
+fn plan_is_deterministic_and_its_id_depends_on_the_base_version() {
     let configuration = fixture::configuration(2, 4);
-    let first = plan(&configuration, &roles(1, 1, 2)).expect("a plan");
-    let again = plan(&configuration, &roles(1, 1, 2)).expect("a plan");
+    let first = plan(&configuration, &role_intent(1, 1, 2)).expect("a plan");
+    let again = plan(&configuration, &role_intent(1, 1, 2)).expect("a plan");
     assert_eq!(first, again);
     let later = VersionedConfiguration { version: ConfigurationVersion(5), configuration: Arc::new(configuration) };
-    let other = plan_intent(&PlannerConfig::default(), &later, &roles(1, 1, 2), &BTreeMap::new()).expect("a plan");
+    let other =
+        plan_intent(&PlannerConfig::default(), &later, &role_intent(1, 1, 2), &BTreeMap::new()).expect("a plan");
     assert_ne!(first.id, other.id);
 }
 
-/// At no wave do fewer engines serve a stage than its floor says, nor do two of one zone go out at once.
+/// In every wave, each stage keeps at least as many serving engines as its floor requires, and at most one engine of
+/// a zone is out of service.
 #[test]
-fn waves_keep_the_floors() {
+fn waves_never_violate_the_floors() {
     let mut configuration = fixture::configuration(2, 6);
     configuration.models[0].prefill_floor = 5;
     configuration.models[0].decode_floor = 5;
@@ -77,14 +84,14 @@
         ..Intent::default()
     };
     let plan = plan(&configuration, &intent).expect("a plan");
-    assert_eq!(plan.waves.len(), 6, "with 6 engines and floors of 5 only one may go at a time");
+    assert_eq!(plan.waves.len(), 6, "with 6 engines and floors of 5 only one may be out of service at a time");
     configuration.models[0].prefill_floor = 6;
     let blocked = plan_intent(&PlannerConfig::default(), &latest(configuration), &intent, &BTreeMap::new());
     assert!(matches!(blocked, Err(PlanError::FloorBlocks { .. })), "{blocked:?}");
 }
 
 #[test]
-fn the_prediction_names_its_basis_and_falls_while_engines_are_out() {
+fn prediction_reports_its_basis_and_is_lower_during_outages() {
     let configuration = fixture::configuration(2, 4);
     let performance = configuration.models[0].performance;
     let demand = ModelDemand {
@@ -92,17 +99,20 @@
         decode_tokens_per_second: 0.0,
     };
     let demands = BTreeMap::from([(ModelName::from("lekh-model"), demand)]);
-    let plan =
-        plan_intent(&PlannerConfig::default(), &latest(configuration), &roles(2, 2, 0), &demands).expect("a plan");
+    let plan = plan_intent(&PlannerConfig::default(), &latest(configuration), &role_intent(2, 2, 0), &demands)
+        .expect("a plan");
     let effect = &plan.effects[0];
     assert_eq!(effect.basis, PredictionBasis::Measured(demand));
-    assert_eq!(effect.before, 1.0, "four mixed engines serve a prompt load of three");
-    assert!((effect.after - 2.0 / 3.0).abs() < 1e-9, "two prefill engines serve two thirds of it: {effect:?}");
+    assert_eq!(effect.before, 1.0, "four mixed engines can serve the prefill demand of three");
+    assert!(
+        (effect.after - 2.0 / 3.0).abs() < 1e-9,
+        "two prefill engines can serve two thirds of the demand: {effect:?}"
+    );
     assert!(effect.during <= effect.after, "{effect:?}");
 }
 
 #[test]
-fn what_does_not_exist_or_is_out_of_range_is_named_with_key_value_and_what_is_allowed() {
+fn invalid_intents_are_reported_with_key_value_and_allowed_values() {
     let configuration = fixture::configuration(2, 4);
     let adapter = Some(AdapterName::from("house-style"));
     let cases = [
@@ -113,7 +123,7 @@
             },
             "engine.name is `no-such`; allowed: the name of an engine of the configuration",
         ),
-        (roles(1, 1, 1), "roles of lekh-model is `3`; allowed: numbers whose sum is 4"),
+        (role_intent(1, 1, 1), "roles of lekh-model is `3`; allowed: numbers whose sum is 4"),
         (
             Intent { role_policy: Some(PolicyChoice::with_defaults("no-such")), ..Intent::default() },
             "role_policy: unknown policy `no-such`; known policies: ",
@@ -125,7 +135,10 @@
             },
             "remove.tenants is `no-such`; allowed: press",
         ),
-        (roles(4, 0, 0), "model lekh-model.decode_floor is 1 but only 0 engines have such a role; allowed: at most 0"),
+        (
+            role_intent(4, 0, 0),
+            "model lekh-model.decode_floor is 1 but only 0 engines have such a role; allowed: at most 0",
+        ),
     ];
     for (intent, expected) in cases {
         let Err(PlanError::Invalid(errors)) = plan(&configuration, &intent) else { panic!("valid: {intent:?}") };
@@ -134,9 +147,9 @@
     assert_eq!(plan(&configuration, &Intent::default()), Err(PlanError::NothingToChange));
 }
 
-/// A broken configuration is refused with one error for each thing that is wrong.
+/// Validation of an invalid configuration reports an error for each mistake.
 #[test]
-fn each_kind_of_mistake_in_a_configuration_is_found() {
+fn validation_reports_each_kind_of_configuration_mistake() {
     type Mistake = fn(&mut Configuration);
     let mistakes: [(&str, Mistake); 9] = [
         ("zone.name is `zone-00`; allowed: a value that occurs only once", |c| c.zones[1] = c.zones[0].clone()),
@@ -159,9 +172,9 @@
 }
 
 #[test]
-fn changes_made_for_another_configuration_are_refused_and_change_nothing() {
+fn changes_for_another_configuration_are_rejected_without_effect() {
     let configuration = fixture::configuration(2, 4);
-    let plan = plan(&configuration, &roles(1, 1, 2)).expect("a plan");
+    let plan = plan(&configuration, &role_intent(1, 1, 2)).expect("a plan");
     let mut other = configuration.clone();
     other.engines[3].role = EngineRole::Prefill;
     let before = other.clone();
@@ -170,8 +183,9 @@
     assert_eq!(other, before);
 }
 
-/// Two configurations that differ in roles, limits, floors, arms and engines at random.
-fn some_configuration(u: &mut Unstructured) -> Result<Configuration> {
+/// Generates a configuration with a random number of engines, random roles, model version and prefill rate, and with
+/// or without a role policy and tenants.
+fn arbitrary_configuration(u: &mut Unstructured) -> Result<Configuration> {
     let mut configuration = fixture::configuration(2, u.int_in_range(2..=6)?);
     for engine in &mut configuration.engines {
         engine.role = *u.choose(&[EngineRole::Prefill, EngineRole::Decode, EngineRole::Mixed])?;
@@ -188,27 +202,27 @@
 }
 
 #[test]
-fn changes_lead_from_one_configuration_to_the_other_also_after_a_way_through_json() {
-    for number in 1..=200_u64 {
+fn changes_transform_one_configuration_into_another_after_a_json_round_trip() {
+    for case in 1..=200_u64 {
         arbtest(|u| {
-            let (from, to) = (some_configuration(u)?, some_configuration(u)?);
-            let text = serde_json::to_string(&from.changes_to(&to)).expect("text");
-            let changes: Vec<Change> = serde_json::from_str(&text).expect("changes");
+            let (from, to) = (arbitrary_configuration(u)?, arbitrary_configuration(u)?);
+            let json = serde_json::to_string(&from.changes_to(&to)).expect("serializable changes");
+            let changes: Vec<Change> = serde_json::from_str(&json).expect("deserializable changes");
             let mut changed = from.clone();
             changed.apply(&changes).expect("applicable");
             assert_eq!(changed.changes_to(&to), []);
             Ok(())
         })
-        .seed((number << 32) | 256);
+        .seed((case << 32) | 256);
     }
 }
 
 #[test]
-fn the_first_configuration_comes_by_a_plan_on_version_0() {
+fn first_configuration_is_created_by_a_plan_on_version_0() {
     let configuration = fixture::configuration(2, 4);
     let plan = fixture::first_plan(&configuration);
     assert_eq!(plan.base, ConfigurationVersion(0));
-    assert_eq!(plan.waves, [], "engines that were not served before do not go out of service");
+    assert_eq!(plan.waves, [], "engines that were not in service before need no outage");
     let mut empty = Configuration::default();
     empty.apply(&plan.changes).expect("applicable");
     assert_eq!(empty.changes_to(&configuration), []);
