--- a/crates/core/src/simulation.rs
+++ b/crates/core/src/simulation.rs
@@ -15,7 +15,7 @@
     /// The share of messages that are lost, from 0 to 1.
     pub loss: f64,
     /// The share of messages that arrive twice, from 0 to 1.
-    pub doubling: f64,
+    pub duplication: f64,
     /// The shortest time on the way.
     pub delay_minimum: Duration,
     /// The longest time on the way; the spread between both reorders messages.
@@ -26,7 +26,7 @@
     fn default() -> Self {
         NetworkFaults {
             loss: 0.0,
-            doubling: 0.0,
+            duplication: 0.0,
             delay_minimum: Duration::from_micros(200),
             delay_maximum: Duration::from_micros(800),
         }
@@ -133,7 +133,7 @@
         if self.cut.contains(&(from, to)) || self.random.f64() < self.faults.loss {
             return;
         }
-        let copies = if self.random.f64() < self.faults.doubling { 2 } else { 1 };
+        let copies = if self.random.f64() < self.faults.duplication { 2 } else { 1 };
         for _ in 0..copies {
             let at = now + self.delay(from, to);
             self.enqueue(Delivery { at, from, to, message: message.clone() });
--- a/crates/core/tests/authority_faults.rs
+++ b/crates/core/tests/authority_faults.rs
@@ -22,7 +22,7 @@
 fn network(u: &mut Unstructured) -> Result<NetworkFaults> {
     Ok(NetworkFaults {
         loss: f64::from(u.int_in_range(0..=15)?) / 100.0,
-        doubling: f64::from(u.int_in_range(0..=30)?) / 100.0,
+        duplication: f64::from(u.int_in_range(0..=30)?) / 100.0,
         delay_minimum: Duration::from_micros(300),
         delay_maximum: Duration::from_millis(*u.choose(&[2, 50, 700, 1_500])?),
     })
--- a/crates/core/tests/claims_simulation.rs
+++ b/crates/core/tests/claims_simulation.rs
@@ -325,7 +325,7 @@
 fn faulty_network() -> NetworkFaults {
     NetworkFaults {
         loss: 0.05,
-        doubling: 0.05,
+        duplication: 0.05,
         delay_minimum: Duration::from_micros(500),
         delay_maximum: Duration::from_millis(30),
     }
--- a/crates/core/tests/configuration_faults.rs
+++ b/crates/core/tests/configuration_faults.rs
@@ -45,7 +45,7 @@
 fn random_network_faults(u: &mut Unstructured) -> Result<NetworkFaults> {
     Ok(NetworkFaults {
         loss: f64::from(u.int_in_range(0..=20)?) / 100.0,
-        doubling: f64::from(u.int_in_range(0..=20)?) / 100.0,
+        duplication: f64::from(u.int_in_range(0..=20)?) / 100.0,
         delay_minimum: Duration::from_millis(1),
         delay_maximum: Duration::from_millis(u.int_in_range(1..=400)?),
     })
--- a/crates/core/tests/gateway_once_only.rs
+++ b/crates/core/tests/gateway_once_only.rs
@@ -87,7 +87,7 @@
     fn new(seed: u64) -> Self {
         let faults = NetworkFaults {
             loss: 0.02,
-            doubling: 0.05,
+            duplication: 0.05,
             delay_minimum: Duration::from_millis(1),
             delay_maximum: Duration::from_millis(30),
         };
--- a/crates/core/tests/gateway_simulation.rs
+++ b/crates/core/tests/gateway_simulation.rs
@@ -372,7 +372,7 @@
 fn verdicts_are_correct_and_answers_exact_despite_faults() {
     let faults = NetworkFaults {
         loss: 0.0,
-        doubling: 0.05,
+        duplication: 0.05,
         delay_minimum: Duration::from_millis(1),
         delay_maximum: Duration::from_millis(25),
     };
--- a/crates/core/tests/membership_faults.rs
+++ b/crates/core/tests/membership_faults.rs
@@ -176,7 +176,7 @@
         let since = cluster.now;
         cluster.network.set_faults(NetworkFaults {
             loss: 0.1,
-            doubling: 0.1,
+            duplication: 0.1,
             delay_minimum: Duration::from_micros(200),
             delay_maximum: Duration::from_millis(40),
         });
@@ -198,7 +198,7 @@
         5 => cluster.network.heal(),
         _ => {
             let loss = f64::from(choices.int_in_range(0..=20_u8)?) / 100.0;
-            cluster.network.set_faults(NetworkFaults { loss, doubling: loss, ..NetworkFaults::default() });
+            cluster.network.set_faults(NetworkFaults { loss, duplication: loss, ..NetworkFaults::default() });
         }
     }
     Ok(())
--- a/crates/rehearsal/src/scale/cluster.rs
+++ b/crates/rehearsal/src/scale/cluster.rs
@@ -19,7 +19,7 @@
 /// The way between two nodes takes this long, at least and at most.
 const NETWORK: NetworkFaults = NetworkFaults {
     loss: 0.000_1,
-    doubling: 0.0,
+    duplication: 0.0,
     delay_minimum: Duration::from_micros(300),
     delay_maximum: Duration::from_millis(3),
 };
