--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of havengate, without I/O, clock or threads.
+//! The decision logic of havengate, without I/O, clocks or threads.
 //!
-//! Every module is a state machine: the caller hands in an event and the time, and gets back what to do. The same code
-//! therefore runs in the node, in property tests and in a simulation in virtual time.
+//! Every module is a state machine: the caller passes an event and the current time, and receives the actions to
+//! perform. The same code therefore runs in the node, in property tests and in simulations in virtual time.
 
 pub mod authority;
 pub mod back_ends;
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as the core sees it: what it asks for and how much work it is, without its text.
+//! Requests as the core represents them: properties and estimated size, without the prompt text.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// Tokens in one block of prompt prefix, the unit in which engines cache and report prefixes.
 pub const BLOCK_TOKENS: u32 = 128;
 
-/// Identifies one caller's request from the gateway to the engine and back; unique in the deployment.
+/// Identifies a caller's request on its way from the gateway to the engine and back; unique in the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct RequestId(pub u128);
 
@@ -22,12 +22,12 @@
     }
 }
 
-/// A caller's name for a request that must run at most once; unique within a tenant.
+/// A key chosen by the caller for a request that must run at most once; unique within a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable, Serialize, Deserialize)]
 pub struct IdempotencyKey {
-    /// The tenant that the key belongs to: two tenants' equal keys are different keys.
+    /// The tenant that the key belongs to: equal keys of two tenants are different keys.
     pub tenant: TenantName,
-    /// The key as the caller wrote it.
+    /// The key as sent by the caller.
     pub key: String,
 }
 
@@ -36,43 +36,43 @@
 pub struct BlockHash(pub u64);
 
 impl BlockHash {
-    /// The hash of the prefix that `parent` ends, longer by one block with the content `block`.
+    /// The hash of the prefix with the hash `parent` extended by one block with the content `block`.
     pub fn chain(parent: Option<BlockHash>, block: &[u8]) -> BlockHash {
         BlockHash(xxh3_64_with_seed(block, parent.map_or(0, |parent| parent.0)))
     }
 }
 
-/// What dispatch needs to know about a request.
+/// The properties of a request that dispatch uses.
 #[derive(Clone, Debug, PartialEq, Readable, Writable, Serialize, Deserialize)]
 pub struct RequestProfile {
     /// The request's identity.
     pub id: RequestId,
-    /// Who asks.
+    /// The tenant that sent the request.
     pub tenant: TenantName,
-    /// The class of service.
+    /// The contract (class of service) of the request.
     pub contract: ContractName,
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelName,
-    /// Tokens in the prompt, as estimated by the gateway.
+    /// Tokens in the prompt, estimated by the gateway.
     pub prompt_tokens: u32,
-    /// The most tokens that the answer may have.
+    /// The maximum number of tokens in the answer.
     pub max_output_tokens: u32,
-    /// The prompt's prefixes at block boundaries, shortest first.
+    /// The hashes of the prompt's prefixes at block boundaries, shortest first.
     pub blocks: Vec<BlockHash>,
-    /// Present when the request must run at most once.
+    /// Set when the request must run at most once.
     pub key: Option<IdempotencyKey>,
-    /// Time left, at the moment the message is sent, until an answer is of no use.
+    /// The time left until the deadline when the message is sent; a later answer is of no use.
     pub time_left: Duration,
-    /// Shed later when higher; the contract's priority, which a caller may lower.
+    /// Requests with a higher priority are shed later. It is the contract's priority, which a caller may lower.
     pub priority: u8,
 }
 
-/// One piece of an answer, as it passes from engine to caller.
+/// One piece of an answer that is streamed from the engine to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct AnswerPiece {
     /// The request that the piece answers; a piece of another request is dropped and counted.
     pub request: RequestId,
-    /// Tokens of the answer before this piece; pieces that repeat or skip tokens are detected by it.
+    /// Tokens of the answer before this piece; used to detect pieces that repeat or skip tokens.
     pub first_token: u32,
     /// Tokens in this piece.
     pub tokens: u32,
@@ -82,12 +82,12 @@
     pub finish: Option<FinishReason>,
 }
 
-/// Why an answer is at its end.
+/// Why an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
     /// The model ended the answer.
     Stop,
-    /// The answer has as many tokens as the request allowed.
+    /// The answer reached the maximum number of tokens that the request allowed.
     Length,
 }
--- a/crates/core/src/simulation.rs
+++ b/crates/core/src/simulation.rs
@@ -1,6 +1,7 @@
-//! A seeded network in virtual time for tests and rehearsals: delay, loss, doubling, reordering, cuts, pauses, kills.
+//! A seeded network in virtual time for tests and rehearsals: delay, loss, duplication, reordering, partitions, pauses
+//! and kills.
 //!
-//! It decides when each message arrives, if at all. The same seed and the same calls give the same arrivals.
+//! The network decides whether and when each message arrives. The same seed and the same calls give the same arrivals.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,16 +10,16 @@
 
 use crate::time::Timestamp;
 
-/// How the network treats messages.
+/// The delays and faults that the network applies to messages.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkFaults {
     /// The share of messages that are lost, from 0 to 1.
     pub loss: f64,
     /// The share of messages that arrive twice, from 0 to 1.
     pub duplication: f64,
-    /// The shortest time on the way.
+    /// The minimum delay of a message.
     pub delay_minimum: Duration,
-    /// The longest time on the way; the spread between both reorders messages.
+    /// The maximum delay of a message. A difference between minimum and maximum reorders messages.
     pub delay_maximum: Duration,
 }
 
@@ -33,16 +34,16 @@
     }
 }
 
-/// A message that arrives.
+/// A message with its arrival time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delivery<Process, Message> {
-    /// When it arrives.
+    /// The arrival time.
     pub at: Timestamp,
-    /// Who sent it.
+    /// The sender.
     pub from: Process,
-    /// Who gets it.
+    /// The receiver.
     pub to: Process,
-    /// What was sent.
+    /// The message.
     pub message: Message,
 }
 
@@ -51,8 +52,8 @@
     faults: NetworkFaults,
     random: Rng,
     sequence: u64,
-    on_the_way: BTreeMap<(Timestamp, u64), Delivery<Process, Message>>,
-    cut: BTreeSet<(Process, Process)>,
+    in_flight: BTreeMap<(Timestamp, u64), Delivery<Process, Message>>,
+    cut_links: BTreeSet<(Process, Process)>,
     extra_latency: BTreeMap<(Process, Process), Duration>,
     dead: BTreeSet<Process>,
     paused: BTreeSet<Process>,
@@ -60,14 +61,14 @@
 }
 
 impl<Process: Copy + Ord, Message: Clone> VirtualNetwork<Process, Message> {
-    /// A network that treats messages as `faults` say, with random choices from `seed`.
+    /// Creates a network that applies `faults`, with random choices from `seed`.
     pub fn new(seed: u64, faults: NetworkFaults) -> Self {
         VirtualNetwork {
             faults,
             random: Rng::with_seed(seed),
             sequence: 0,
-            on_the_way: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
             extra_latency: BTreeMap::new(),
             dead: BTreeSet::new(),
             paused: BTreeSet::new(),
@@ -75,32 +76,32 @@
         }
     }
 
-    /// Changes how messages are treated from now on.
+    /// Sets the faults that apply to messages sent from now on.
     pub fn set_faults(&mut self, faults: NetworkFaults) {
         self.faults = faults;
     }
 
-    /// Adds latency between two processes, in both directions.
+    /// Sets the extra latency between two processes, in both directions.
     pub fn set_latency(&mut self, one: Process, other: Process, latency: Duration) {
         self.extra_latency.insert((one, other), latency);
         self.extra_latency.insert((other, one), latency);
     }
 
-    /// Cuts the way from `from` to `to`; the other direction stays open.
+    /// Cuts the link from `from` to `to`; the other direction stays open.
     pub fn cut(&mut self, from: Process, to: Process) {
-        self.cut.insert((from, to));
+        self.cut_links.insert((from, to));
     }
 
-    /// Opens all ways that were cut.
+    /// Restores all links that were cut.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 
-    /// Kills a process: nothing reaches it until [`VirtualNetwork::restart`].
+    /// Kills a process: messages to it are dropped until [`VirtualNetwork::restart`], including those in flight.
     pub fn kill(&mut self, process: Process) {
         self.dead.insert(process);
         self.held.retain(|delivery| delivery.to != process);
-        self.on_the_way.retain(|_, delivery| delivery.to != process);
+        self.in_flight.retain(|_, delivery| delivery.to != process);
     }
 
     /// Lets a killed process receive again.
@@ -108,12 +109,12 @@
         self.dead.remove(&process);
     }
 
-    /// Pauses a process: what arrives is held back until [`VirtualNetwork::resume`].
+    /// Pauses a process: messages that arrive are held back until [`VirtualNetwork::resume`].
     pub fn pause(&mut self, process: Process) {
         self.paused.insert(process);
     }
 
-    /// Resumes a process; what was held back arrives at `now`, in its order.
+    /// Resumes a process; the messages that were held back arrive at `now`, in their order.
     pub fn resume(&mut self, process: Process, now: Timestamp) {
         self.paused.remove(&process);
         let (due, held) = std::mem::take(&mut self.held).into_iter().partition(|held| held.to == process);
@@ -130,7 +131,7 @@
 
     /// Sends a message at `now`.
     pub fn send(&mut self, from: Process, to: Process, message: Message, now: Timestamp) {
-        if self.cut.contains(&(from, to)) || self.random.f64() < self.faults.loss {
+        if self.cut_links.contains(&(from, to)) || self.random.f64() < self.faults.loss {
             return;
         }
         let copies = if self.random.f64() < self.faults.duplication { 2 } else { 1 };
@@ -140,16 +141,16 @@
         }
     }
 
-    /// When the next message arrives.
+    /// The time of the next arrival.
     pub fn next_arrival(&self) -> Option<Timestamp> {
-        self.on_the_way.keys().next().map(|(at, _)| *at)
+        self.in_flight.keys().next().map(|(at, _)| *at)
     }
 
-    /// The next message that arrives no later than `until`, to a running process.
+    /// Removes and returns the next message that arrives at a running process no later than `until`.
     pub fn deliver(&mut self, until: Timestamp) -> Option<Delivery<Process, Message>> {
         while self.next_arrival().is_some_and(|at| at <= until) {
-            let (_, delivery) = self.on_the_way.pop_first()?;
-            if self.dead.contains(&delivery.to) || self.cut.contains(&(delivery.from, delivery.to)) {
+            let (_, delivery) = self.in_flight.pop_first()?;
+            if self.dead.contains(&delivery.to) || self.cut_links.contains(&(delivery.from, delivery.to)) {
                 continue;
             }
             if self.paused.contains(&delivery.to) {
@@ -164,12 +165,12 @@
     fn delay(&mut self, from: Process, to: Process) -> Duration {
         let shortest = self.faults.delay_minimum.as_micros() as u64;
         let longest = self.faults.delay_maximum.as_micros() as u64;
-        let own = Duration::from_micros(self.random.u64(shortest..=longest.max(shortest)));
-        own + self.extra_latency.get(&(from, to)).copied().unwrap_or_default()
+        let base = Duration::from_micros(self.random.u64(shortest..=longest.max(shortest)));
+        base + self.extra_latency.get(&(from, to)).copied().unwrap_or_default()
     }
 
     fn enqueue(&mut self, delivery: Delivery<Process, Message>) {
         self.sequence += 1;
-        self.on_the_way.insert((delivery.at, self.sequence), delivery);
+        self.in_flight.insert((delivery.at, self.sequence), delivery);
     }
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the core sees it: a number handed in by the caller, never read from a clock.
+//! Time in the core: a number passed in by the caller, never read from a clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// The whole milliseconds of a duration, for logs and messages.
+/// A duration in milliseconds, rounded down, for logs and messages; [`u64::MAX`] on overflow.
 pub fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// `first`, doubled `times` times, but no longer than `longest`.
+/// Exponential backoff: `first`, doubled `times` times and capped at `longest`.
 pub fn doubled(first: Duration, times: u32, longest: Duration) -> Duration {
     let factor = 2_u32.checked_pow(times).unwrap_or(u32::MAX);
     first.saturating_mul(factor).min(longest)
 }
 
-/// A point of monotonic time, in microseconds since an origin that each process (or simulation) chooses for itself.
+/// A point in monotonic time, in microseconds since an origin that each process (or simulation) chooses for itself.
 ///
 /// Timestamps of two processes must not be compared: messages carry durations instead.
 #[derive(
@@ -26,7 +26,7 @@
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The origin of the process's own time.
+    /// The origin of the process's time.
     pub const ZERO: Timestamp = Timestamp(0);
 
     /// A timestamp `micros` microseconds after the origin.
@@ -49,7 +49,7 @@
         self.0 as f64 / 1e6
     }
 
-    /// The time that has gone by since `earlier`; zero when `earlier` lies ahead.
+    /// The time elapsed since `earlier`; zero when `earlier` is later than `self`.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known about a request when it ends: whether it ran, did not run, or may have run.
+//! The verdict on a request when it ends: it completed, did not run, or may have run.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// How a request ended. Only [`Verdict::NotRun`] may be retried for a request that must not be repeated.
+/// How a request ended. A request that must not be repeated may be retried only after [`Verdict::NotRun`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The whole answer reached the caller.
+    /// The complete answer reached the caller.
     Completed,
-    /// No engine has started the request, nor will one.
+    /// No engine has started the request, and none will start it.
     NotRun(NotRun),
-    /// An engine may have started the request; its answer is lost or cut.
+    /// An engine may have started the request; its answer is lost or incomplete.
     MayHaveRun(MayHaveRun),
 }
 
 impl Verdict {
-    /// The stable word for the verdict in headers, bodies, logs and metrics.
+    /// The stable code for the verdict in headers, bodies, logs and metrics.
     pub fn code(&self) -> &'static str {
         match self {
             Verdict::Completed => "completed",
@@ -28,22 +28,22 @@
     }
 }
 
-/// A refusal: the request truly did not run.
+/// A refusal: the request is known not to have run.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 pub struct NotRun {
     /// Why the request was refused.
     pub reason: NotRunReason,
-    /// When it makes sense to ask again, if ever.
+    /// The time after which a retry may succeed; `None` when no advice is given.
     pub retry_after: Option<Duration>,
 }
 
 impl NotRun {
-    /// A refusal without advice on when to come back.
+    /// A refusal without advice on when to retry.
     pub fn new(reason: NotRunReason) -> Self {
         NotRun { reason, retry_after: None }
     }
 
-    /// A refusal that tells the caller when to come back.
+    /// A refusal that advises the caller when to retry.
     pub fn retry_after(reason: NotRunReason, retry_after: Duration) -> Self {
         NotRun { reason, retry_after: Some(retry_after) }
     }
@@ -69,9 +69,9 @@
     DeadlinePassed,
     /// the node is leaving
     NodeLeaving,
-    /// the node can't tell whether its peers still count on it
+    /// the node can't confirm that its peers still consider it live
     NodeSuspended,
-    /// no engine can take the request now
+    /// no engine can accept the request now
     NoEngine,
     /// the request was revoked before it was started
     Revoked,
@@ -87,9 +87,9 @@
     CallerGone,
     /// too many requests are repeated already
     RetryBudgetSpent,
-    /// the engines that ran the request so far have ended under it
+    /// the engines that ran the request so far terminated while running it
     EndsEngines,
-    /// all back ends that could take the request have asked for rest, or are at their limit
+    /// all back ends that could serve the request are backing off or at their limit
     BackEndsRest,
 }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Whether another engine or dispatcher may well take the request: the rest is true of the request itself.
+    /// Whether another engine or dispatcher may accept the request; the other reasons concern the request itself.
     pub fn worth_another_try(self) -> bool {
         matches!(
             self,
@@ -135,11 +135,11 @@
     }
 }
 
-/// Why it is not known whether a request ran to its end.
+/// Why it is unknown whether a request ran to completion.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Readable, Writable, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MayHaveRun {
-    /// the engine's stream ended before the answer was whole
+    /// the engine's stream ended before the answer was complete
     AnswerCut,
     /// the engine failed after the request was sent to it
     EngineFailed,
@@ -153,7 +153,7 @@
     KeyUsed,
     /// an engine failed, and too many requests are repeated already to send it again
     RetryBudgetSpent,
-    /// the engines that ran the request have ended under it
+    /// the engines that ran the request terminated while running it
     EndsEngines,
 }
 
--- a/crates/core/tests/support/store_model.rs
+++ b/crates/core/tests/support/store_model.rs
@@ -1,4 +1,4 @@
-//! A model of the platform's store: compare-and-set, outages, lost replies, reads from the past.
+//! A model of the platform's store with compare-and-set, outages, lost replies and stale reads.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use havengate_core::configuration::{ConfigurationRecord, ConfigurationVersion, configuration_key};
 use havengate_core::store::{ObjectKey, Revision, StoreReply, StoreRequest, StoredObject};
 
-/// How the store misbehaves.
+/// The faults of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFaults {
-    /// Whether it is down.
+    /// Whether the store is down; every reply is then [`StoreReply::Unknown`].
     pub down: bool,
-    /// The share of replies that are lost, after the request took effect.
+    /// The share of replies that are lost after the request took effect, from 0 to 1.
     pub reply_loss: f64,
-    /// The share of reads that are answered from the past.
+    /// The share of reads that are answered with a random version from the object's history, from 0 to 1.
     pub stale_reads: f64,
-    /// Added to each request and each reply.
+    /// The latency added to each request and to each reply.
     pub slowness: Duration,
 }
 
-/// The store.
+/// The state of the modelled store.
 pub struct StoreModel {
-    /// How it misbehaves now.
+    /// The current faults.
     pub faults: StoreFaults,
-    /// Reads so far.
+    /// The number of reads so far.
     pub reads: u64,
-    /// Writes so far that took effect.
+    /// The number of writes so far that took effect.
     pub writes: u64,
     random: Rng,
     history: BTreeMap<ObjectKey, Vec<StoredObject>>,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// The time that a request, or a reply, takes.
+    /// The latency of one request or one reply.
     pub fn half_latency(&mut self) -> Duration {
         self.faults.slowness + Duration::from_micros(self.random.u64(2_000..20_000))
     }
 
-    /// Takes a request in, and answers it.
+    /// Executes a request and returns the reply.
     pub fn handle(&mut self, request: StoreRequest) -> StoreReply {
         if self.faults.down {
             return StoreReply::Unknown;
@@ -67,12 +67,12 @@
         if self.random.f64() < self.faults.reply_loss { StoreReply::Unknown } else { reply }
     }
 
-    /// The object as it truly is.
+    /// The latest version of an object, regardless of faults.
     pub fn latest(&self, key: &ObjectKey) -> Option<&StoredObject> {
         self.history.get(key).and_then(|versions| versions.last())
     }
 
-    /// The configuration's record as it truly is.
+    /// The latest configuration record, regardless of faults.
     pub fn record(&self) -> ConfigurationRecord {
         let object = self.latest(&configuration_key());
         object.map_or_else(ConfigurationRecord::default, |object| {
@@ -80,7 +80,7 @@
         })
     }
 
-    /// The version that is truly recorded as in force.
+    /// The version that the latest record names as in force.
     pub fn configuration_in_force(&self) -> ConfigurationVersion {
         self.in_force
     }
--- a/crates/core/tests/support/world_engine.rs
+++ b/crates/core/tests/support/world_engine.rs
@@ -1,7 +1,8 @@
-//! Engines in virtual time, whose steps grow with what they read and answer.
+//! Engines in virtual time, whose step times grow with the work in each step.
 //!
-//! Those that read prompts do so one after the other. Those that answer make one token for each answer in a step, and read a piece of each prompt that
-//! they have between two tokens, at half the pace; a step takes longer the more answers run and the more pieces are read in it.
+//! Prefill engines process one prompt after the other. Decode engines generate one token for each answer in a step, and
+//! prefill a piece of each of their prompts between two tokens, at half the rate of prefill engines; a step takes longer
+//! the more answers run and the more pieces are prefilled in it.
 
 use std::collections::VecDeque;
 
@@ -10,39 +11,40 @@
 
 use super::relay_fixture::back_end;
 
-/// Tokens that an engine reads in a millisecond: one that reads only, and one that answers.
+/// Tokens per millisecond that a prefill engine and a decode engine prefill.
 const PREFILL_RATE: f64 = 300.0;
 const DECODE_RATE: f64 = 150.0;
 
-/// A step of an engine that answers, in milliseconds: what it takes at least, for each answer, and the tokens of a piece.
-const STEP: f64 = 0.6;
-const STEP_FOR_AN_ANSWER: f64 = 0.04;
+/// The minimum duration of a decode engine's step and the time added for each answer, both in milliseconds, and the
+/// tokens of a prompt piece that is prefilled in a step.
+const STEP_MILLIS: f64 = 0.6;
+const STEP_MILLIS_PER_ANSWER: f64 = 0.04;
 const PIECE_TOKENS: f64 = 256.0;
 
-/// Answers that an engine runs at once, and the tokens that come with its first event.
-const PLACES: usize = 48;
+/// The maximum number of answers that an engine runs at once, and the tokens in the first event of an answer.
+const MAX_CONCURRENT_ANSWERS: usize = 48;
 const FIRST_EVENT_TOKENS: u32 = 7;
 
-/// What an engine keeps.
+/// The capacity of an engine's KV cache, in tokens.
 pub const CACHE_TOKENS: u64 = 305_000;
 
-/// Who waits longer than this for the first event is gone, in microseconds.
-const PATIENCE: u64 = 2_000_000;
+/// A caller that waits longer than this for the first event leaves, in microseconds.
+const FIRST_EVENT_TIMEOUT: u64 = 2_000_000;
 
-/// A caller's request, from its arrival to its end. Moments are in microseconds.
+/// A caller's request, from its arrival to its end. Times are in microseconds.
 pub struct Caller {
-    /// The node that it came to.
+    /// The node that received the request.
     pub node: usize,
     pub arrived: u64,
     pub prompt: Prompt,
     pub is_long: bool,
     pub answer_tokens: u32,
-    /// When it was sent to the engine that has it.
+    /// The time at which the request was sent to its current engine.
     pub sent: u64,
-    /// From when on that engine has what it needs for it: a KV cache that is moved takes a while.
+    /// The time from which that engine can start the request: the move of a KV cache takes time.
     pub ready: u64,
     pub reading: Option<PrefillId>,
-    /// Whether another engine has read its prompt.
+    /// Whether another engine has prefilled the prompt.
     pub was_moved: bool,
     pub unread: f64,
     pub made: u32,
@@ -50,15 +52,15 @@
 
 impl Caller {
     fn is_gone(&self, now: u64) -> bool {
-        self.made < FIRST_EVENT_TOKENS && now - self.arrived > PATIENCE
+        self.made < FIRST_EVENT_TOKENS && now - self.arrived > FIRST_EVENT_TIMEOUT
     }
 }
 
-/// What has become of a caller's request in a step.
+/// A change in the state of a caller's request in a step.
 pub enum Event {
-    /// Its prompt was read by an engine that doesn't answer.
+    /// A prefill engine has finished the prompt.
     Read(Caller),
-    /// Its answer has begun.
+    /// The first event of the answer was sent.
     Began {
         node: usize,
         reading: Option<PrefillId>,
@@ -68,15 +70,15 @@
         sent: u64,
         arrived: u64,
     },
-    /// Its caller has left before that.
+    /// The caller left before the first event of the answer.
     Left(Caller),
 }
 
-/// An engine.
+/// The state of a simulated engine.
 pub struct Engine {
     pub back_end: BackEnd,
-    /// The shared parts that it keeps, the one that was used last at the end.
-    kept: VecDeque<u64>,
+    /// The ids of the cached shared parts, the least recently used first.
+    cached_parts: VecDeque<u64>,
     busy_until: u64,
     queue: VecDeque<Caller>,
     running: Vec<Caller>,
@@ -85,51 +87,51 @@
 impl Engine {
     pub fn new(number: u8, stage: EngineStage) -> Self {
         let back_end = back_end(number, Some(stage));
-        Engine { back_end, kept: VecDeque::new(), busy_until: 0, queue: VecDeque::new(), running: Vec::new() }
+        Engine { back_end, cached_parts: VecDeque::new(), busy_until: 0, queue: VecDeque::new(), running: Vec::new() }
     }
 
-    /// Requests of one node that it has.
+    /// The number of requests of one node at this engine.
     pub fn in_flight(&self, node: usize) -> u32 {
         let callers = self.queue.iter().chain(&self.running);
         callers.filter(|caller| caller.node == node).count() as u32
     }
 
-    /// Takes a request in; its prompt is read here unless another engine has read it.
+    /// Enqueues a request; its prompt is prefilled here unless another engine has done so.
     pub fn take_in(&mut self, mut caller: Caller) {
-        let unread = self.keep(&caller.prompt);
+        let unread = self.cache(&caller.prompt);
         caller.unread = if caller.was_moved { 0.0 } else { unread };
         self.queue.push_back(caller);
     }
 
-    /// Does what is to be done at `now`.
+    /// Runs the step that is due at `now`; does nothing while the previous step runs.
     pub fn step(&mut self, now: u64) -> Vec<Event> {
         if now < self.busy_until {
             return Vec::new();
         }
         match self.back_end.stage {
-            Some(EngineStage::Prefill) => self.read(now),
-            _ => self.answer(now),
+            Some(EngineStage::Prefill) => self.prefill(now),
+            _ => self.decode(now),
         }
     }
 
-    /// Keeps a prompt's shared part from now on; the tokens that had to be read of it.
-    fn keep(&mut self, prompt: &Prompt) -> f64 {
+    /// Adds a prompt's shared part to the cache; returns the tokens of the prompt that were not cached.
+    fn cache(&mut self, prompt: &Prompt) -> f64 {
         let Some(shared) = prompt.deepest_shared_part() else {
             return f64::from(prompt.tokens);
         };
-        let known = self.kept.iter().position(|id| *id == shared.id);
-        if let Some(position) = known {
-            self.kept.remove(position);
+        let cached_position = self.cached_parts.iter().position(|id| *id == shared.id);
+        if let Some(position) = cached_position {
+            self.cached_parts.remove(position);
         }
-        self.kept.push_back(shared.id);
-        if self.kept.len() as u64 * u64::from(shared.tokens) > CACHE_TOKENS {
-            self.kept.pop_front();
+        self.cached_parts.push_back(shared.id);
+        if self.cached_parts.len() as u64 * u64::from(shared.tokens) > CACHE_TOKENS {
+            self.cached_parts.pop_front();
         }
-        f64::from(prompt.tokens - if known.is_some() { shared.tokens } else { 0 })
+        f64::from(prompt.tokens - if cached_position.is_some() { shared.tokens } else { 0 })
     }
 
-    /// An engine that reads has read its prompt, and takes the next one.
-    fn read(&mut self, now: u64) -> Vec<Event> {
+    /// Finishes the prompt of a prefill engine and starts the next one.
+    fn prefill(&mut self, now: u64) -> Vec<Event> {
         let mut events: Vec<Event> = self.running.drain(..).map(Event::Read).collect();
         while let Some(caller) = self.queue.pop_front() {
             if caller.is_gone(now) {
@@ -143,8 +145,8 @@
         events
     }
 
-    /// One step of an engine that answers.
-    fn answer(&mut self, now: u64) -> Vec<Event> {
+    /// Runs one step of a decode engine.
+    fn decode(&mut self, now: u64) -> Vec<Event> {
         let mut events = self.admit(now);
         let (mut pieces, mut answers) = (0, 0);
         for caller in &mut self.running {
@@ -167,21 +169,22 @@
                 });
             }
         }
-        let millis = STEP + STEP_FOR_AN_ANSWER * f64::from(answers) + f64::from(pieces) * PIECE_TOKENS / DECODE_RATE;
+        let millis =
+            STEP_MILLIS + STEP_MILLIS_PER_ANSWER * f64::from(answers) + f64::from(pieces) * PIECE_TOKENS / DECODE_RATE;
         self.busy_until = now + (millis * 1e3) as u64;
-        let ends = |caller: &mut Caller| caller.is_gone(now) || caller.made >= caller.answer_tokens;
-        let ended = self.running.extract_if(.., ends);
-        events.extend(ended.filter(|caller| caller.made < FIRST_EVENT_TOKENS).map(Event::Left));
+        let is_finished = |caller: &mut Caller| caller.is_gone(now) || caller.made >= caller.answer_tokens;
+        let finished = self.running.extract_if(.., is_finished);
+        events.extend(finished.filter(|caller| caller.made < FIRST_EVENT_TOKENS).map(Event::Left));
         events
     }
 
-    /// What has come and finds a place begins; whose caller has left is dropped.
+    /// Starts the queued requests that are ready, up to [`MAX_CONCURRENT_ANSWERS`]; drops those whose caller has left.
     fn admit(&mut self, now: u64) -> Vec<Event> {
         let mut events = Vec::new();
         for caller in std::mem::take(&mut self.queue) {
             if caller.is_gone(now) {
                 events.push(Event::Left(caller));
-            } else if caller.ready <= now && self.running.len() < PLACES {
+            } else if caller.ready <= now && self.running.len() < MAX_CONCURRENT_ANSWERS {
                 self.running.push(caller);
             } else {
                 self.queue.push_back(caller);
--- a/crates/core/tests/support/world_faults.rs
+++ b/crates/core/tests/support/world_faults.rs
@@ -1,12 +1,12 @@
-//! Starts, kills, pauses and partitions.
+//! Starts, kills, pauses and partitions of nodes.
 
 use super::*;
 
 impl World {
-    /// Starts a node as a new life without memory.
+    /// Starts a node as a new incarnation without state.
     pub fn start(&mut self, index: usize) {
         self.stop(index);
-        let member = self.new_life(index);
+        let member = self.new_incarnation(index);
         let zone = self.nodes[index].zone.clone();
         let seed = self.random.u64(..);
         let replica = ConfigurationReplica::new(self.config.clone(), member, zone, seed).expect("valid settings");
@@ -18,7 +18,7 @@
         node.highest = None;
         node.highest_held = None;
         self.schedule(LISTED_AFTER, Event::List { node: index, identity: member });
-        self.see_nobody_else(index);
+        self.observe_only_itself(index);
     }
 
     /// Starts all nodes.
@@ -26,7 +26,7 @@
         (0..self.len()).for_each(|index| self.start(index));
     }
 
-    /// Kills a node; it forgets everything.
+    /// Kills a node; it loses all its state.
     pub fn stop(&mut self, index: usize) {
         self.network.kill(index);
         self.network.resume(index, self.now);
@@ -35,19 +35,19 @@
         node.paused = false;
         node.isolated = None;
         self.set_tick(index);
-        self.fall_silent(index);
+        self.begin_silence(index);
     }
 
-    /// Pauses a node: it does nothing and gets its messages when it resumes.
+    /// Pauses a node: it does nothing, and receives its messages when it resumes.
     pub fn pause(&mut self, index: usize) {
         if self.nodes[index].replica.is_some() && !self.nodes[index].paused {
             self.nodes[index].paused = true;
             self.network.pause(index);
-            self.fall_silent(index);
+            self.begin_silence(index);
         }
     }
 
-    /// Resumes a paused node. When it has been declared dead meanwhile, it rejoins as a new life a little later.
+    /// Resumes a paused node. If it was declared dead meanwhile, it rejoins as a new incarnation after [`LISTED_AFTER`].
     pub fn resume(&mut self, index: usize) {
         if !self.nodes[index].paused {
             return;
@@ -59,10 +59,10 @@
             self.step(index, ConfigurationInput::Suspended);
         }
         self.send_view(index);
-        self.return_to_views(index);
+        self.schedule_rejoin(index);
     }
 
-    /// Cuts one node off from all others, both ways.
+    /// Isolates one node from all others, in both directions.
     pub fn isolate(&mut self, index: usize) {
         if self.nodes[index].isolated.is_some() || self.nodes[index].replica.is_none() {
             return;
@@ -75,10 +75,10 @@
         let isolation = self.sequence;
         self.nodes[index].isolated = Some(isolation);
         self.schedule(SUSPENDED_AFTER, Event::Suspend { node: index, isolation });
-        self.fall_silent(index);
+        self.begin_silence(index);
     }
 
-    /// Cuts a zone off from all others; its nodes go on serving.
+    /// Isolates a zone from all others; its nodes continue to serve.
     pub fn cut_zone(&mut self, zone: usize) {
         let name = fixture::zone_name(zone);
         for inside in self.indexes_in(&name) {
@@ -91,25 +91,25 @@
         self.schedule(DETECTED_AFTER, Event::RefreshViews);
     }
 
-    /// Opens all ways. Isolated nodes rejoin.
+    /// Restores all links. Isolated nodes rejoin.
     pub fn heal(&mut self) {
         self.network.heal();
         self.cut_zones.clear();
         self.unreachable.clear();
         for index in 0..self.len() {
             if self.nodes[index].isolated.take().is_some() {
-                self.return_to_views(index);
+                self.schedule_rejoin(index);
             }
         }
         self.schedule(LISTED_AFTER, Event::RefreshViews);
     }
 
-    /// Changes how the network treats messages.
+    /// Sets the faults of the network.
     pub fn set_faults(&mut self, faults: NetworkFaults) {
         self.network.set_faults(faults);
     }
 
-    pub(super) fn new_life(&mut self, index: usize) -> Member {
+    pub(super) fn new_incarnation(&mut self, index: usize) -> Member {
         self.incarnations += 1;
         Member { address: fixture::node_address(index), incarnation: Incarnation(self.incarnations) }
     }
--- a/crates/core/tests/support/world_membership.rs
+++ b/crates/core/tests/support/world_membership.rs
@@ -1,9 +1,9 @@
-//! What membership tells the nodes.
+//! The membership views that the nodes receive.
 
 use super::*;
 
 impl World {
-    pub(super) fn list(&mut self, index: usize, identity: Member) {
+    pub(super) fn list_member(&mut self, index: usize, identity: Member) {
         let node = &mut self.nodes[index];
         if node.replica.is_none() || node.paused || node.isolated.is_some() || identity < node.member {
             return;
@@ -18,7 +18,7 @@
         self.publish_views();
     }
 
-    /// Publishes what has changed by now, once for all changes of the same moment.
+    /// Schedules the publication of views, once for all changes at the same time.
     pub(super) fn publish_views(&mut self) {
         if !std::mem::replace(&mut self.views_changed, true) {
             self.schedule(PUBLISHED_AFTER, Event::PublishViews);
@@ -30,7 +30,8 @@
         (0..self.len()).for_each(|index| self.send_view(index));
     }
 
-    /// Tells one node the present view, after a lag; also when it resumes, since messages have waited for it.
+    /// Sends the current view to one node after a random lag; also when it resumes, since the messages held back during
+    /// the pause are delivered then.
     pub(super) fn send_view(&mut self, index: usize) {
         if self.nodes[index].replica.is_none() || self.nodes[index].isolated.is_some() {
             return;
@@ -41,8 +42,8 @@
         self.schedule(lag, Event::ViewArrives { node: index, sequence: self.sequence, view });
     }
 
-    /// What membership tells a node that has just started, or that has long been isolated.
-    pub(super) fn see_nobody_else(&mut self, index: usize) {
+    /// Gives a node the view that contains only itself, as after its start or a long isolation.
+    pub(super) fn observe_only_itself(&mut self, index: usize) {
         let Node { member, zone, .. } = &self.nodes[index];
         let alone = LiveMember { member: *member, zone: zone.clone() };
         self.step(index, ConfigurationInput::View(LiveView::new(vec![alone], BTreeSet::new())));
@@ -69,17 +70,17 @@
         node.replica.is_none() || node.paused || node.isolated.is_some()
     }
 
-    pub(super) fn fall_silent(&mut self, index: usize) {
+    pub(super) fn begin_silence(&mut self, index: usize) {
         self.sequence += 1;
         self.nodes[index].silence = self.sequence;
         self.schedule(DETECTED_AFTER, Event::Detect { node: index, silence: self.sequence });
     }
 
-    pub(super) fn return_to_views(&mut self, index: usize) {
+    pub(super) fn schedule_rejoin(&mut self, index: usize) {
         if self.nodes[index].listed && !self.nodes[index].suspended {
             return;
         }
-        let identity = self.new_life(index);
+        let identity = self.new_incarnation(index);
         self.schedule(LISTED_AFTER, Event::List { node: index, identity });
     }
 }
--- a/crates/core/tests/support/world_run.rs
+++ b/crates/core/tests/support/world_run.rs
@@ -1,14 +1,14 @@
-//! The course of events, and the checks of the guarantees after each.
+//! The event loop, and the checks of the guarantees after each event.
 
 use super::*;
 
 impl World {
-    /// Runs for a while.
+    /// Runs the simulation for `duration`.
     pub fn run(&mut self, duration: Duration) {
         self.run_until(self.now + duration, |_| false);
     }
 
-    /// Runs until `done` or until `end`; tells whether `done` came true.
+    /// Runs until `done` or until `end`; returns whether `done` became true.
     pub fn run_until(&mut self, end: Timestamp, done: impl Fn(&World) -> bool) -> bool {
         while !done(self) {
             let Some(next) = self.next_time().filter(|next| *next <= end) else {
@@ -38,7 +38,7 @@
         }
         if self.events.keys().next().is_some_and(|(at, _)| *at <= self.now) {
             let (_, event) = self.events.pop_first().expect("an event is due");
-            self.happen(event);
+            self.handle_event(event);
             return;
         }
         if let Some((at, index)) = self.ticks.first().copied().filter(|(at, _)| *at <= self.now) {
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(super) fn happen(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::StoreRequestArrives { client, token, request } => {
                 let reply = self.store.handle(request);
@@ -102,11 +102,11 @@
                     self.nodes[node].listed = false;
                     self.publish_views();
                     if self.nodes[node].isolated.is_some() && !self.nodes[node].paused {
-                        self.see_nobody_else(node);
+                        self.observe_only_itself(node);
                     }
                 }
             }
-            Event::List { node, identity } => self.list(node, identity),
+            Event::List { node, identity } => self.list_member(node, identity),
         }
     }
 
@@ -142,7 +142,7 @@
                         assert_eq!(*known, text, "version {} has two contents", adopted.version);
                     }
                 }
-                ConfigurationAction::Accepted(version) => self.note_accepted(version),
+                ConfigurationAction::Accepted(version) => self.record_accepted(version),
             }
         }
         self.set_tick(index);
@@ -163,7 +163,7 @@
         self.schedule(latency, Event::StoreRequestArrives { client, token, request });
     }
 
-    pub(super) fn note_accepted(&mut self, version: ConfigurationVersion) {
+    pub(super) fn record_accepted(&mut self, version: ConfigurationVersion) {
         if self.highest_accepted() >= Some(version) {
             return;
         }
@@ -171,8 +171,9 @@
         (0..self.len()).for_each(|index| self.check(index));
     }
 
-    /// The guarantees, for one node: its version never goes down; it never runs ahead of the store; and when it serves,
-    /// it serves by no lower version than the highest accepted one.
+    /// Checks the guarantees for one node: neither its version in force nor its highest held version decreases; its
+    /// version in force is never higher than the store's; and while it serves, its version is no lower than the highest
+    /// accepted one.
     pub(super) fn check(&mut self, index: usize) {
         let accepted = self.highest_accepted();
         let serves = self.serves(index);
@@ -181,12 +182,16 @@
         let Some(replica) = &node.replica else { return };
         let version = replica.in_force().map(|in_force| in_force.version);
         let held = replica.watermarks().held;
-        assert!(version >= node.highest, "node {index} went down from {:?} to {version:?}", node.highest);
-        assert!(held >= node.highest_held, "node {index} forgot what it held: {:?} to {held:?}", node.highest_held);
+        assert!(version >= node.highest, "version of node {index} decreased from {:?} to {version:?}", node.highest);
+        assert!(
+            held >= node.highest_held,
+            "held version of node {index} decreased from {:?} to {held:?}",
+            node.highest_held
+        );
         node.highest = version;
         node.highest_held = held;
-        assert!(version <= Some(recorded), "node {index} has {version:?} in force, the store only {recorded}");
-        let state = format!("node {index} serves by {version:?} although {accepted:?} is accepted at {:?}", self.now);
+        assert!(version <= Some(recorded), "node {index} has {version:?} in force, but the store has {recorded}");
+        let state = format!("node {index} serves with {version:?} although {accepted:?} is accepted at {:?}", self.now);
         assert!(!serves || version >= accepted, "{state}");
     }
 
