--- a/crates/core/tests/support/world_engine.rs
+++ b/crates/core/tests/support/world_engine.rs
@@ -1,8 +1,8 @@
 //! Engines in virtual time, whose step times grow with the work in each step.
 //!
 //! Prefill engines process one prompt after the other. Decode engines generate one token for each answer in a step, and
-//! prefill a piece of each of their prompts between two tokens, at half the rate of prefill engines; a step takes longer
-//! the more answers run and the more pieces are prefilled in it.
+//! prefill a piece of each of their prompts between two tokens, at half the rate of prefill engines; a step takes
+//! longer the more answers run and the more pieces are prefilled in it.
 
 use std::collections::VecDeque;
 
--- a/crates/core/tests/support/world_faults.rs
+++ b/crates/core/tests/support/world_faults.rs
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Resumes a paused node. If it was declared dead meanwhile, it rejoins as a new incarnation after [`LISTED_AFTER`].
+    /// Resumes a paused node. If it was declared dead meanwhile, it rejoins as a new incarnation after
+    /// [`LISTED_AFTER`].
     pub fn resume(&mut self, index: usize) {
         if !self.nodes[index].paused {
             return;
