--- a/crates/node/src/traffic/attempt.rs
+++ b/crates/node/src/traffic/attempt.rs
@@ -26,7 +26,7 @@
 /// Takes in the progress of an attempt.
 pub trait PieceSink {
     /// The prompt has been read by another engine than the one that generates.
-    fn prompt_read(&mut self, request: RequestId);
+    fn prefill_done(&mut self, request: RequestId);
 
     /// Passes on a piece; `false` when nobody wants the answer any more.
     fn piece(&mut self, piece: AnswerPiece) -> bool;
@@ -40,7 +40,7 @@
             Ok(handle) => plan.body.import = Some(handle),
             Err(error) => return settle(engines, prefill, &plan, sent, &error),
         }
-        sink.prompt_read(plan.request);
+        sink.prefill_done(plan.request);
     }
     let sent = Instant::now();
     match engines.generate(plan.decode, &plan.body) {
--- a/crates/node/src/traffic/pool_runtime.rs
+++ b/crates/node/src/traffic/pool_runtime.rs
@@ -294,7 +294,7 @@
 }
 
 impl PieceSink for DispatcherSink<'_> {
-    fn prompt_read(&mut self, request: RequestId) {
+    fn prefill_done(&mut self, request: RequestId) {
         let now = self.runtime.clock.now();
         self.runtime.lock().dispatcher.step(EngineEvent::PrefillDone { request }, now);
         self.runtime.wake();
--- a/crates/rehearsal/tests/engine_attempt.rs
+++ b/crates/rehearsal/tests/engine_attempt.rs
@@ -83,7 +83,7 @@
 struct NoSink;
 
 impl PieceSink for NoSink {
-    fn prompt_read(&mut self, _: RequestId) {}
+    fn prefill_done(&mut self, _: RequestId) {}
 
     fn piece(&mut self, _: AnswerPiece) -> bool {
         true
