--- a/crates/node/src/admission/answer_record.rs
+++ b/crates/node/src/admission/answer_record.rs
@@ -1,4 +1,4 @@
-//! Keeps an answer while it passes, so that a repeat of its idempotency key gets it again.
+//! Records an answer while it is relayed, so that a repeat of its idempotency key gets the same answer.
 
 use havengate_core::claims::{AnswerRecorder, RecordedOutcome};
 use havengate_core::request::AnswerPiece;
@@ -7,7 +7,7 @@
 use crate::callers::AnswerSink;
 use crate::http_server::HungUp;
 
-/// Passes an answer on, counts its tokens and keeps its text, up to a length.
+/// Relays an answer, counts its tokens and records its text up to a maximum length.
 pub struct RecordingSink<'a> {
     sink: &'a mut dyn AnswerSink,
     recorder: AnswerRecorder,
@@ -15,17 +15,17 @@
 }
 
 impl<'a> RecordingSink<'a> {
-    /// Keeps answers of at most `bytes_maximum` bytes.
+    /// Creates a sink that records answers of at most `bytes_maximum` bytes.
     pub fn new(sink: &'a mut dyn AnswerSink, bytes_maximum: usize) -> Self {
         RecordingSink { sink, recorder: AnswerRecorder::new(bytes_maximum), tokens: 0 }
     }
 
-    /// Tokens that have passed.
+    /// Number of tokens relayed so far.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// What the holders of the key record.
+    /// Returns the outcome that the holders of the key record.
     pub fn outcome(&self, verdict: Verdict) -> RecordedOutcome {
         self.recorder.clone().outcome(verdict)
     }
--- a/crates/node/src/admission/mod.rs
+++ b/crates/node/src/admission/mod.rs
@@ -1,7 +1,7 @@
-//! What a request must have before it is dispatched: a permit within its tenant's limits and, if it must run at most
+//! Admission of requests before dispatch: each needs a permit within its tenant's limits and, if it must run at most
 //! once, the claim of its idempotency key.
 //!
-//! Traffic threads call in here and wait for answers of other nodes; one thread sends what is due.
+//! Traffic threads call this module and wait for replies of other nodes; one background thread sends due messages.
 
 mod answer_record;
 mod service;
--- a/crates/node/src/admission/service.rs
+++ b/crates/node/src/admission/service.rs
@@ -1,4 +1,4 @@
-//! Claims and limits for traffic threads, and the thread that sends what is due.
+//! Claims and limits for traffic threads, and the background thread that sends due messages.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -25,24 +25,24 @@
 use crate::peers::ControlLink;
 use crate::platform::PlatformApi;
 
-/// The longest time between two looks for what is due.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// The longest time between two polls for due work.
+const POLL_INTERVAL_MAXIMUM: Duration = Duration::from_millis(50);
 
-/// The shortest time between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(1);
+/// The shortest time between two polls for due work.
+const POLL_INTERVAL_MINIMUM: Duration = Duration::from_millis(1);
 
-/// How long a request may be held for a share of its tenant's limits that is on its way. It covers the way to the
-/// tenant's home and back in another region.
-const SHARE_PATIENCE: Duration = Duration::from_millis(300);
+/// How long a request may wait for a pending lease of its tenant's limits. It covers the round trip to a tenant's home
+/// in another region.
+const LEASE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How often a request that waits looks again.
-const WAIT_STEP: Duration = Duration::from_millis(5);
+/// How often a waiting request tries again to be admitted.
+const ADMIT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the service works with.
+/// Dependencies of the admission service.
 pub struct AdmissionParts {
     /// This process.
     pub me: Member,
-    /// The way to other nodes.
+    /// Sends messages to other nodes.
     pub peers: Arc<ControlLink<PeerMessage>>,
     /// The platform, for the slot map.
     pub platform: Arc<dyn PlatformApi>,
@@ -50,7 +50,7 @@
     pub clock: Clock,
 }
 
-/// Claims and limits of one node.
+/// Manages the claims and limits of one node.
 pub struct Admission {
     state: Mutex<AdmissionState>,
     me: Address,
@@ -62,7 +62,7 @@
     answer_bytes_maximum: usize,
 }
 
-/// A key that was claimed for a request; its outcome has to be recorded.
+/// A key that was claimed for a request; the request's outcome must be recorded.
 pub struct ClaimedKey {
     request: RequestId,
 }
@@ -91,7 +91,7 @@
         let weak = Arc::downgrade(&admission);
         thread::Builder::new().name("admission".to_owned()).spawn(move || {
             while let Some(admission) = weak.upgrade() {
-                let wait = admission.work();
+                let wait = admission.poll();
                 drop(admission);
                 if woken.recv_timeout(wait) == Err(RecvTimeoutError::Disconnected) {
                     return;
@@ -101,17 +101,17 @@
         Ok(admission)
     }
 
-    /// Takes in the members and tenants of a new snapshot.
+    /// Applies the members and tenants of a new snapshot.
     pub fn update(&self, snapshot: &ControlSnapshot) {
         self.lock().update(snapshot, self.clock.now());
     }
 
-    /// Takes in the machines that the platform lists.
+    /// Applies the platform's list of machines.
     pub fn set_listed(&self, listed: BTreeSet<Address>) {
         self.lock().set_listed(listed, self.clock.now());
     }
 
-    /// Takes in another node's message.
+    /// Processes a message from another node and sends the answer, if any.
     pub fn receive(&self, from: Address, message: PeerMessage) {
         let answer = self.lock().receive(from, message, self.clock.now());
         self.wake();
@@ -120,58 +120,58 @@
         }
     }
 
-    /// The node begins to leave: it asks the other holders of its claims what they hold.
+    /// Starts to drain the node: it asks the other holders of its claims what they hold.
     pub fn leave(&self) {
         self.lock().keeper.leave(self.clock.now());
         self.wake();
     }
 
-    /// Whether claims would be lost if the leaving node ended now.
+    /// Whether claims would be lost if the draining node stopped now.
     pub fn is_needed(&self) -> bool {
         self.lock().keeper.is_needed()
     }
 
-    /// Claims and limits as operators see them.
+    /// Returns the status of claims and limits for operators.
     pub fn status(&self, tenants: &[Tenant]) -> AdmissionStatus {
         self.lock().status(tenants)
     }
 
-    /// The longest answer that is kept with a key, in bytes.
+    /// The longest answer that is recorded with a key, in bytes.
     pub fn answer_bytes_maximum(&self) -> usize {
         self.answer_bytes_maximum
     }
 
-    /// Admits a request of `work` tokens within its tenant's limits. It may be held for a moment, while a share of the
-    /// limits is on its way.
+    /// Admits a request of `work` tokens within its tenant's limits. May block for up to `LEASE_TIMEOUT` while a lease
+    /// of the limits is pending.
     ///
     /// # Errors
-    /// When the limits are used up.
+    /// When the limits are used up, or the caller hangs up while waiting.
     pub fn admit(&self, tenant: &TenantName, work: u32, hang_up: &HangUp) -> Result<Permit, NotRun> {
-        let patience = self.clock.now() + SHARE_PATIENCE;
+        let give_up_at = self.clock.now() + LEASE_TIMEOUT;
         loop {
             let now = self.clock.now();
             let (admitted, awaits_lease) = self.try_admit(tenant, work, now);
             let Err(refusal) = admitted else { return admitted };
-            if !awaits_lease || now >= patience {
+            if !awaits_lease || now >= give_up_at {
                 return Err(refusal);
             }
             if hang_up.is_set() {
                 return Err(NotRun::new(NotRunReason::CallerGone));
             }
             self.wake();
-            thread::sleep(WAIT_STEP);
+            thread::sleep(ADMIT_RETRY_INTERVAL);
         }
     }
 
-    /// Gives a permit back; `used` is the work that was done.
+    /// Returns a permit; `used` is the work that was done, in tokens.
     pub fn release(&self, permit: Permit, used: u32) {
         self.lock().limiter.release(permit, used, self.clock.now());
     }
 
-    /// Claims a key for a request that ends by `deadline`; blocks until the claim has ended.
+    /// Claims a key for a request that ends by `deadline`; blocks until the claim is decided.
     ///
     /// # Errors
-    /// Any end but that the key is the request's: the request must then not be dispatched.
+    /// Any outcome other than [`ClaimOutcome::Won`]: the request must then not be dispatched.
     pub fn claim(
         &self,
         key: IdempotencyKey,
@@ -179,16 +179,16 @@
         deadline: Timestamp,
         hang_up: &HangUp,
     ) -> Result<ClaimedKey, ClaimOutcome> {
-        let (decided, decision) = bounded(1);
+        let (decision_sender, decision) = bounded(1);
         {
             let mut state = self.lock();
             let now = self.clock.now();
             state.client.claim(key, request, deadline, now).map_err(ClaimOutcome::Refused)?;
-            state.waiting.insert(request, decided);
+            state.waiting.insert(request, decision_sender);
         }
         self.wake();
         loop {
-            match decision.recv_timeout(LOOK_EVERY) {
+            match decision.recv_timeout(POLL_INTERVAL_MAXIMUM) {
                 Ok(ClaimOutcome::Won) => return Ok(ClaimedKey { request }),
                 Ok(outcome) => return Err(outcome),
                 Err(RecvTimeoutError::Timeout) if !hang_up.is_set() => {}
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Records how a request that had claimed its key ended.
+    /// Records the outcome of a request that had claimed its key.
     pub fn record(&self, claimed: ClaimedKey, outcome: RecordedOutcome) {
         self.lock().client.record(claimed.request, outcome, self.clock.now());
         self.wake();
@@ -210,7 +210,7 @@
         (admitted, awaits_lease)
     }
 
-    /// Gives up a claim whose caller has gone. A claim that was won meanwhile is given back as not run.
+    /// Abandons a claim whose caller has hung up. A claim that was won meanwhile is recorded as not run.
     fn abandon(&self, request: RequestId) -> Result<ClaimedKey, ClaimOutcome> {
         let refusal = NotRun::new(NotRunReason::CallerGone);
         let mut state = self.lock();
@@ -228,12 +228,12 @@
     }
 
     fn wake(&self) {
-        // A full channel means that a wake-up is already on its way.
+        // A full channel means that a wake-up is already pending.
         let _ = self.wake.try_send(());
     }
 
-    /// Does what is due, and tells how long nothing will be.
-    fn work(self: &Arc<Self>) -> Duration {
+    /// Carries out due work and returns the time to wait until the next poll.
+    fn poll(self: &Arc<Self>) -> Duration {
         let now = self.clock.now();
         let (due, next) = {
             let mut state = self.lock();
@@ -241,7 +241,7 @@
             (due, state.next_due(now))
         };
         self.carry_out(due);
-        next.since(self.clock.now()).clamp(LOOK_PAUSE, LOOK_EVERY)
+        next.since(self.clock.now()).clamp(POLL_INTERVAL_MINIMUM, POLL_INTERVAL_MAXIMUM)
     }
 
     fn carry_out(self: &Arc<Self>, due: DueWork) {
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Messages to this node itself take no connection. Their answers come back the same way.
+    /// Sends a message. Messages to this node itself, and the answers to them, are processed without a connection.
     fn send(&self, outgoing: Outgoing) {
         let Outgoing { to, message } = outgoing;
         if to != self.me {
@@ -276,11 +276,11 @@
                 let mut state = admission.lock();
                 let now = admission.clock.now();
                 state.keeper.store_replied(reply, now);
-                state.share_map(now);
+                state.distribute_map(now);
             }
         };
         if self.store.run(job).is_err() {
-            // The keeper forgets a request without a reply after a while and asks again.
+            // The keeper times out a request without a reply and sends it again.
             log::warn!("slot_map_store_busy");
         }
     }
--- a/crates/node/src/admission/state.rs
+++ b/crates/node/src/admission/state.rs
@@ -1,4 +1,4 @@
-//! The state machines of claims and limits of one node, together.
+//! Combines the state machines for the claims and limits of one node.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,36 +17,36 @@
 
 use crate::control::ControlSnapshot;
 
-/// A message and the node that gets it.
+/// A message and its receiver.
 pub struct Outgoing {
-    /// The receiver.
+    /// The address of the receiving node.
     pub to: Address,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// What is to be done outside.
+/// Due work that the caller of the state machines must carry out.
 #[derive(Default)]
 pub struct DueWork {
     /// Messages to send.
     pub messages: Vec<Outgoing>,
-    /// A request to the store about the slot map.
+    /// A store request that reads or writes the slot map.
     pub store: Option<StoreRequest>,
 }
 
-/// Claims and limits of one node.
+/// State of the claims and limits of one node.
 pub struct AdmissionState {
-    /// Keeps the slot map.
+    /// Maintains the slot map.
     pub keeper: SlotMapKeeper,
-    /// Holds the claims that fall to this node.
+    /// Holds the claims in this node's slots.
     pub holder: ClaimHolder,
     /// Makes the claims of this gateway.
     pub client: ClaimClient,
-    /// Leases the limits of the tenants at home here.
+    /// Leases out the limits of the tenants whose home is this node.
     pub allocator: LimitAllocator,
     /// Admits the requests of this gateway.
     pub limiter: TenantLimiter,
-    /// Who waits for the end of a claim.
+    /// Channels to the threads that wait for the outcome of a claim.
     pub waiting: BTreeMap<RequestId, Sender<ClaimOutcome>>,
     members: Vec<Member>,
     listed: Option<BTreeSet<Address>>,
@@ -54,7 +54,7 @@
 }
 
 impl AdmissionState {
-    /// The state of a process that starts at `now`.
+    /// Creates the state of a process that starts at `now`.
     pub fn new(me: Member, claims: ClaimConfig, limits: LimitConfig, now: Timestamp) -> Self {
         AdmissionState {
             keeper: SlotMapKeeper::new(me, SlotMapKeeperConfig::default(), me.incarnation.0, now),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes in the members and tenants of a new snapshot.
+    /// Applies the members and tenants of a new snapshot.
     pub fn update(&mut self, snapshot: &ControlSnapshot, now: Timestamp) {
         self.holder.rejoin(snapshot.me);
         self.members = snapshot.nodes.iter().filter(|node| node.may_own).map(|node| node.member).collect();
@@ -88,13 +88,13 @@
         self.allocator.set_homes(homes, now);
     }
 
-    /// Takes in the machines that the platform lists.
+    /// Applies the platform's list of machines.
     pub fn set_listed(&mut self, listed: BTreeSet<Address>, now: Timestamp) {
         self.listed = Some(listed);
         self.observe(now);
     }
 
-    /// Takes in a message of another node, or of this one, and returns the answer to it.
+    /// Processes a message from another node or from this one, and returns the answer to it.
     pub fn receive(&mut self, from: Address, message: PeerMessage, now: Timestamp) -> Option<Outgoing> {
         let answer = match message {
             PeerMessage::Claim(message) => self.receive_claim(from, message, now).map(PeerMessage::Claim),
@@ -108,7 +108,7 @@
         answer.map(|message| Outgoing { to: from, message })
     }
 
-    /// What is due now. Claims that have ended are told to those who wait for them.
+    /// Returns the work due now, and notifies the threads that wait for decided claims.
     pub fn take_due(&mut self, now: Timestamp) -> DueWork {
         let map_work = self.keeper.poll(now);
         let mut claims = map_work.messages;
@@ -117,11 +117,11 @@
         claims.extend(work.messages);
         for decision in work.decisions {
             if let Some(waiter) = self.waiting.remove(&decision.request) {
-                // The waiter is gone only when its caller has hung up.
+                // The receiver is dropped only when its caller has hung up.
                 let _ = waiter.send(decision.outcome);
             }
         }
-        let mut messages: Vec<Outgoing> = claims.into_iter().map(claim_out).collect();
+        let mut messages: Vec<Outgoing> = claims.into_iter().map(outgoing_claim).collect();
         for request in self.limiter.poll(now) {
             let home = self.home_of(&request.tenant);
             messages.extend(home.map(|to| Outgoing { to, message: PeerMessage::LeaseRequest(request) }));
@@ -129,7 +129,7 @@
         DueWork { messages, store: map_work.store }
     }
 
-    /// When [`AdmissionState::take_due`] has to be called again.
+    /// Returns when [`AdmissionState::take_due`] must be called again.
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let parts = [
             Some(self.keeper.next_poll()),
@@ -144,7 +144,7 @@
         match message {
             message @ (ClaimMessage::MapVersion(_) | ClaimMessage::MapChanges(_) | ClaimMessage::Status(_)) => {
                 let answer = self.keeper.step(from, message, now);
-                self.share_map(now);
+                self.distribute_map(now);
                 answer
             }
             message @ (ClaimMessage::ClaimReply(_) | ClaimMessage::OutcomeAck(_)) => {
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Hands the newest map to holder and client.
-    pub fn share_map(&mut self, now: Timestamp) {
+    /// Passes the newest slot map to the holder and the client.
+    pub fn distribute_map(&mut self, now: Timestamp) {
         self.holder.adopt(self.keeper.map());
         self.client.adopt(self.keeper.map(), now);
     }
@@ -166,13 +166,13 @@
         self.keeper.observe(nodes, now);
     }
 
-    /// The node that leases a tenant's limits: the first in line for its name.
+    /// Returns the node that leases a tenant's limits: the first in the ranking of members for the tenant's name.
     fn home_of(&self, tenant: &TenantName) -> Option<Address> {
         let ranked = rank_members(tenant.as_str().as_bytes(), self.members.iter().copied());
         ranked.first().map(|member| member.address)
     }
 }
 
-fn claim_out(envelope: ClaimEnvelope) -> Outgoing {
+fn outgoing_claim(envelope: ClaimEnvelope) -> Outgoing {
     Outgoing { to: envelope.to, message: PeerMessage::Claim(envelope.message) }
 }
--- a/crates/node/src/admission/status.rs
+++ b/crates/node/src/admission/status.rs
@@ -1,4 +1,4 @@
-//! Claims and limits as operators see them.
+//! Status of claims and limits for operators.
 
 use havengate_core::claims::SlotStatus;
 use havengate_core::world::Tenant;
@@ -7,7 +7,7 @@
 use crate::operators::{AdmissionStatus, ClaimStatus, TenantStatus};
 
 impl AdmissionState {
-    /// What this node holds, and what the limited ones of `tenants` use of it.
+    /// Returns the claims that this node holds and the permits in use by those of `tenants` that have limits.
     pub fn status(&self, tenants: &[Tenant]) -> AdmissionStatus {
         let limited = tenants.iter().filter(|tenant| tenant.limits.is_some());
         let in_use = |tenant: &Tenant| TenantStatus {
@@ -30,6 +30,6 @@
     }
 }
 
-fn count(things: usize) -> u32 {
-    u32::try_from(things).unwrap_or(u32::MAX)
+fn count(items: usize) -> u32 {
+    u32::try_from(items).unwrap_or(u32::MAX)
 }
--- a/crates/node/src/traffic/answer.rs
+++ b/crates/node/src/traffic/answer.rs
@@ -1,9 +1,9 @@
-//! The way of an answer from the dispatcher towards the caller.
+//! Events of an answer, sent from the dispatcher towards the caller.
 
 use havengate_core::request::AnswerPiece;
 use havengate_core::verdict::Verdict;
 
-/// What happens to a submitted request, in order; nothing follows [`AnswerEvent::End`].
+/// An event of a submitted request. Events come in order; [`AnswerEvent::End`] is the last one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerEvent {
     /// A piece of the answer.
--- a/crates/node/src/traffic/attempt.rs
+++ b/crates/node/src/traffic/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: prompt work, transfer of the KV cache and the answer's stream, on one thread.
+//! One attempt at a request: prefill, transfer of the KV cache and the answer's stream, on one thread.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,24 +11,24 @@
 use crate::engines::dialect::{CancelAnswer, GenerateLine, GenerateRequest, KvHandle};
 use crate::engines::{EngineApi, EngineCallError, GenerateStream};
 
-/// What an attempt needs to know.
+/// Parameters of an attempt.
 pub struct AttemptPlan {
     /// The request.
     pub request: RequestId,
-    /// The body for the engines.
+    /// The request body sent to the engines.
     pub body: GenerateRequest,
-    /// The engine that reads the prompt, when it is not the one that generates.
+    /// The engine that runs the prefill, when it is not the one that generates.
     pub prefill: Option<Address>,
     /// The engine that generates.
     pub decode: Address,
 }
 
-/// Takes in the progress of an attempt.
+/// Receives the progress of an attempt.
 pub trait PieceSink {
-    /// The prompt has been read by another engine than the one that generates.
+    /// Called when another engine than the one that generates has finished the prefill.
     fn prefill_done(&mut self, request: RequestId);
 
-    /// Passes on a piece; `false` when nobody wants the answer any more.
+    /// Passes on a piece; returns `false` when the answer has no receiver any more.
     fn piece(&mut self, piece: AnswerPiece) -> bool;
 }
 
@@ -38,25 +38,26 @@
         let sent = Instant::now();
         match engines.prefill(prefill, &plan.body) {
             Ok(handle) => plan.body.import = Some(handle),
-            Err(error) => return settle(engines, prefill, &plan, sent, &error),
+            Err(error) => return resolve_failure(engines, prefill, &plan, sent, &error),
         }
         sink.prefill_done(plan.request);
     }
     let sent = Instant::now();
     match engines.generate(plan.decode, &plan.body) {
-        Ok(mut stream) => relay(stream.as_mut(), &plan, sink),
-        Err(error) => settle_after_import(engines, &plan, sent, &error),
+        Ok(mut stream) => relay_stream(stream.as_mut(), &plan, sink),
+        Err(error) => resolve_after_import(engines, &plan, sent, &error),
     }
 }
 
-/// After a prompt has been read elsewhere the request has run in part: only a repeatable one may run again.
-fn settle_after_import(
+/// Resolves a failed generate call. After a prefill on another engine the request has run in part, so only a repeatable
+/// request may run again.
+fn resolve_after_import(
     engines: &Arc<dyn EngineApi>,
     plan: &AttemptPlan,
     sent: Instant,
     error: &EngineCallError,
 ) -> AttemptOutcome {
-    let outcome = settle(engines, plan.decode, plan, sent, error);
+    let outcome = resolve_failure(engines, plan.decode, plan, sent, error);
     let imported: Option<&KvHandle> = plan.body.import.as_ref();
     match (outcome, imported) {
         (AttemptOutcome::NotRun, Some(_)) => AttemptOutcome::MayHaveRun(MayHaveRun::EngineFailed),
@@ -64,10 +65,10 @@
     }
 }
 
-/// Finds out whether a call that failed after `sent` ran: an engine that has cancelled the request before its start will
-/// never start it. That counts only if the engine's process has been the same since before the request was sent: an
-/// earlier life may have started the request, and the present one would not know.
-fn settle(
+/// Determines whether a failed call, sent at `sent`, has run: an engine that cancelled the request before its start
+/// never starts it. That holds only if the engine's process is older than the call: a previous incarnation may have
+/// started the request without the current one knowing.
+fn resolve_failure(
     engines: &Arc<dyn EngineApi>,
     engine: Address,
     plan: &AttemptPlan,
@@ -83,12 +84,13 @@
     }
 }
 
-/// Whether the engine that gave `answer` just now was alive at `sent`. The time that the answer took counts against it.
+/// Whether the engine process that just returned `answer` was already running at `sent`. The time that the answer took
+/// counts against it.
 fn was_alive_since(sent: Instant, answer: &CancelAnswer) -> bool {
     Duration::from_millis(answer.alive_ms) >= sent.elapsed()
 }
 
-fn relay(stream: &mut dyn GenerateStream, plan: &AttemptPlan, sink: &mut dyn PieceSink) -> AttemptOutcome {
+fn relay_stream(stream: &mut dyn GenerateStream, plan: &AttemptPlan, sink: &mut dyn PieceSink) -> AttemptOutcome {
     loop {
         let Ok(line) = stream.next_line() else {
             return AttemptOutcome::MayHaveRun(MayHaveRun::AnswerCut);
@@ -105,7 +107,7 @@
     }
 }
 
-/// The piece in a line; `None` when the line answers another request.
+/// Returns the piece in a line; `None` when the line answers another request.
 fn piece_of(line: GenerateLine, request: RequestId) -> Option<AnswerPiece> {
     let own = line.request == request.to_string();
     own.then_some(AnswerPiece {
--- a/crates/node/src/traffic/engine_watch.rs
+++ b/crates/node/src/traffic/engine_watch.rs
@@ -1,5 +1,5 @@
-//! Asks one engine for its load and its cache events, again and again, on a thread of its own: an engine that does not
-//! answer must not delay what is heard of the others.
+//! Polls one engine for its load and its cache events, on a thread of its own: an engine that does not answer must not
+//! delay the reports of the others.
 
 use std::sync::Weak;
 use std::thread;
@@ -11,13 +11,13 @@
 use super::pool_runtime::PoolRuntime;
 use crate::engines::dialect::{CacheEvents, LoadReport};
 
-/// Time between two questions. Reports lag by about as much anyway; they only correct what the dispatcher knows.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+/// Time between two polls. Reports lag by about as much anyway; they only correct the dispatcher's estimates.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Stack of a watching thread.
+/// Stack size of a watching thread.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Watches an engine for as long as the pool's runtime lives and has the engine.
+/// Watches an engine for as long as the pool's runtime exists and includes the engine.
 pub fn watch_engine(runtime: Weak<PoolRuntime>, engine: EngineName) {
     let name = engine.clone();
     let watch = move || {
@@ -25,10 +25,10 @@
         while let Some(runtime) = runtime.upgrade() {
             let Some(address) = runtime.address(&engine) else { return };
             if runtime.is_owner() {
-                after = ask(&runtime, &engine, address, after);
+                after = poll_engine(&runtime, &engine, address, after);
             }
             drop(runtime);
-            thread::sleep(ASK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     };
     if let Err(error) = thread::Builder::new().stack_size(STACK_BYTES).name("engine-watch".to_owned()).spawn(watch) {
@@ -36,15 +36,15 @@
     }
 }
 
-/// Asks once; returns the number after which to ask for cache events next time.
-fn ask(runtime: &PoolRuntime, engine: &EngineName, address: Address, after: u64) -> u64 {
+/// Polls once; returns the sequence number after which the next poll asks for cache events.
+fn poll_engine(runtime: &PoolRuntime, engine: &EngineName, address: Address, after: u64) -> u64 {
     if let Some(report) = runtime.engines().load(address) {
         runtime.record_load(engine, reported(&report));
     }
     match runtime.engines().cache_events(address, after) {
         Some(events) => {
             let next = events.next;
-            pass_on(runtime, engine, events, after);
+            apply_cache_events(runtime, engine, events, after);
             next
         }
         None => after,
@@ -60,8 +60,9 @@
     }
 }
 
-/// Passes events on; a gap in their numbers, or numbers that start anew, mean that what was cached is unknown.
-fn pass_on(runtime: &PoolRuntime, engine: &EngineName, events: CacheEvents, after: u64) {
+/// Passes cache events to the dispatcher. A gap in their sequence numbers, or numbers that start again, mean that the
+/// engine's cache content is unknown.
+fn apply_cache_events(runtime: &PoolRuntime, engine: &EngineName, events: CacheEvents, after: u64) {
     let mut expected = after + 1;
     if events.next < after {
         runtime.engine_event(EngineEvent::CacheGap { engine: engine.clone() });
--- a/crates/node/src/traffic/gateway.rs
+++ b/crates/node/src/traffic/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: takes a caller's request through the dispatchers of its model to the final verdict.
+//! The gateway: sends a caller's request to the dispatchers of its model until it has a final verdict.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
@@ -23,39 +23,39 @@
 use crate::http_server::HangUp;
 use crate::metrics::{Metrics, OutcomeLabel};
 
-/// How often a request that waits for a hand-over looks for a new owner.
-const CHECK_EVERY: Duration = Duration::from_millis(20);
+/// How often a request that waits for a hand-over checks for a new owner.
+const OWNER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a stream waits for its next event before it looks whether its caller has hung up. A hang-up wakes the wait
-/// for a dispatcher on this node at once; over a connection it is noticed after this time. Each look wakes a thread, and
-/// a node has hundreds of streams whose tokens come 56 ms apart, so it is longer than that.
-const EVENT_WAIT: Duration = Duration::from_millis(100);
+/// How long a stream waits for its next event before it checks whether its caller has hung up. A hang-up interrupts the
+/// wait for a dispatcher on this node at once; over a connection it is detected after this time. Each check wakes a
+/// thread, and a node has hundreds of streams with 56 ms between tokens, so the timeout is longer than that.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a request that no dispatcher took waits for the pool to change hands. It covers the time in which a dead
-/// owner is noticed; longer waits would only keep the caller from an answer.
-const HAND_OVER_PATIENCE: Duration = Duration::from_secs(5);
+/// How long a request that no dispatcher accepted waits for a new owner of the pool. It covers the time to detect a
+/// dead owner; a longer wait would only delay the caller's answer.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When a caller is told to come back if no dispatcher took the request.
+/// Retry delay that a caller is given if no dispatcher accepted the request.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The first dispatcher that a request is sent to; those after it are retries.
+/// Number of a request's first attempt; later attempts are retries.
 const FIRST_ATTEMPT: AttemptNumber = AttemptNumber(1);
 
-/// What a gateway works with.
+/// Dependencies of a gateway.
 pub struct GatewayParts {
-    /// Control's state.
+    /// The current snapshot of the control state.
     pub snapshot: SharedSnapshot,
-    /// The ways to dispatchers.
+    /// Opens hops to dispatchers.
     pub hops: Hops,
     /// Claims of keys and permits of tenants.
     pub admission: Arc<Admission>,
     /// The zone of this node.
     pub zone: ZoneName,
-    /// Makes random choices repeatable.
+    /// Seed of the random choices, so that they are repeatable.
     pub seed: u64,
     /// The node's clock.
     pub clock: Clock,
-    /// Where retries and revocations are counted.
+    /// Counts retries and revocations.
     pub metrics: Arc<Metrics>,
 }
 
@@ -72,22 +72,22 @@
     budget: Mutex<RetryBudget>,
 }
 
-/// A request on its way through the gateway.
-struct Passage<'a> {
+/// A request that the gateway is serving.
+struct RequestContext<'a> {
     request: CallerRequest,
     deadline: Timestamp,
     answer: &'a mut dyn AnswerSink,
     hang_up: &'a HangUp,
 }
 
-/// The hop that is open, and where it leads.
+/// An open hop and the pool that it leads to.
 struct OpenHop {
     hop: Hop,
     pool: PoolId,
 }
 
 impl Gateway {
-    /// A gateway.
+    /// Creates a gateway.
     pub fn new(parts: GatewayParts) -> Self {
         let config = GatewayConfig::default();
         Gateway {
@@ -103,24 +103,24 @@
         }
     }
 
-    /// Takes the request to its verdict; one with a key only after its key was claimed.
-    fn pass_once(&self, request: CallerRequest, answer: &mut RecordingSink<'_>, hang_up: &HangUp) -> Verdict {
+    /// Dispatches the request until it has a verdict; a request with a key only after the key is claimed.
+    fn claim_and_dispatch(&self, request: CallerRequest, answer: &mut RecordingSink<'_>, hang_up: &HangUp) -> Verdict {
         let deadline = self.clock.now() + request.profile.time_left;
         let id = request.profile.id;
         let Some(key) = request.profile.key.clone() else {
-            return self.pass(&mut Passage { request, deadline, answer, hang_up });
+            return self.dispatch(&mut RequestContext { request, deadline, answer, hang_up });
         };
         let claim = self.admission.claim(key, id, deadline, hang_up);
         self.count_claim(&claim);
         match claim {
             Ok(claimed) => {
-                let verdict = self.pass(&mut Passage { request, deadline, answer, hang_up });
+                let verdict = self.dispatch(&mut RequestContext { request, deadline, answer, hang_up });
                 self.admission.record(claimed, answer.outcome(verdict.clone()));
                 verdict
             }
             Err(ClaimOutcome::Repeated(earlier)) => replay(earlier, id, answer),
             Err(ClaimOutcome::Refused(refusal)) => Verdict::NotRun(refusal),
-            // A claim that was won is no error.
+            // Unreachable: a claim that was won is returned as `Ok`.
             Err(ClaimOutcome::Won) => Verdict::NotRun(NotRun::new(NotRunReason::KeyUnclaimable)),
         }
     }
@@ -131,42 +131,42 @@
         self.metrics.claims.get_or_create(&outcome).inc();
     }
 
-    /// Takes the request to its verdict. While its pool changes hands, it is offered to each new owner.
-    fn pass(&self, passage: &mut Passage<'_>) -> Verdict {
-        let patience = self.patience(passage);
+    /// Dispatches the request until it has a verdict. While its pool changes owners, it is offered to each new owner.
+    fn dispatch(&self, context: &mut RequestContext<'_>) -> Verdict {
+        let wait_until = self.hand_over_deadline(context);
         loop {
             let snapshot = self.snapshot.load_full();
             if let Some(reason) = snapshot.refuses(self.clock.now()) {
                 return Verdict::NotRun(NotRun::retry_after(reason, RETRY_AFTER));
             }
-            let targets = self.rank(&snapshot, &passage.request.profile);
-            let verdict = self.try_targets(&snapshot, targets, passage);
+            let targets = self.rank(&snapshot, &context.request.profile);
+            let verdict = self.try_targets(&snapshot, targets, context);
             let Verdict::NotRun(refusal) = &verdict else { return verdict };
-            let may_change_hands = changes_hands(refusal.reason);
-            if !may_change_hands || !self.await_new_owners(&snapshot, passage, patience) {
+            let owner_may_change = indicates_owner_change(refusal.reason);
+            if !owner_may_change || !self.await_new_owners(&snapshot, context, wait_until) {
                 return verdict;
             }
             self.metrics.gateway_retries.inc();
         }
     }
 
-    /// Until when the request may wait for its pool to change hands: never beyond its contract's time to the first
-    /// token, since later it is of no use and its caller must be told to come back.
-    fn patience(&self, passage: &Passage<'_>) -> Timestamp {
+    /// Until when the request may wait for a new owner of its pool. Never beyond its contract's time to the first
+    /// token: an answer after that is useless, and the caller must be asked to retry instead.
+    fn hand_over_deadline(&self, context: &RequestContext<'_>) -> Timestamp {
         let snapshot = self.snapshot.load();
-        let contract = snapshot.directory.contract(&passage.request.profile.contract);
-        let first_token_within = contract.map_or(HAND_OVER_PATIENCE, |contract| contract.first_token_within);
-        (self.clock.now() + HAND_OVER_PATIENCE.min(first_token_within)).min(passage.deadline)
+        let contract = snapshot.directory.contract(&context.request.profile.contract);
+        let first_token_within = contract.map_or(HAND_OVER_TIMEOUT, |contract| contract.first_token_within);
+        (self.clock.now() + HAND_OVER_TIMEOUT.min(first_token_within)).min(context.deadline)
     }
 
     fn rank(&self, snapshot: &ControlSnapshot, profile: &RequestProfile) -> Vec<Target> {
         let routes = snapshot.routes_of(&profile.model);
-        let options: Vec<PoolOption> = routes.map(|route| self.option(snapshot, route)).collect();
+        let options: Vec<PoolOption> = routes.map(|route| self.pool_option(snapshot, route)).collect();
         let mut picker = self.picker.lock().unwrap_or_else(PoisonError::into_inner);
         picker.rank(profile, &options, self.clock.now())
     }
 
-    fn option(&self, snapshot: &ControlSnapshot, route: &PoolRoute) -> PoolOption {
+    fn pool_option(&self, snapshot: &ControlSnapshot, route: &PoolRoute) -> PoolOption {
         let configuration = &snapshot.configuration;
         let latency = |zone: &ZoneName| link_latency(configuration, &self.zone, zone);
         let model = configuration.models.iter().find(|model| model.name == route.pool.id.model);
@@ -179,20 +179,25 @@
         }
     }
 
-    fn try_targets(&self, snapshot: &ControlSnapshot, targets: Vec<Target>, passage: &mut Passage<'_>) -> Verdict {
-        let contract = &passage.request.profile.contract;
+    fn try_targets(
+        &self,
+        snapshot: &ControlSnapshot,
+        targets: Vec<Target>,
+        context: &mut RequestContext<'_>,
+    ) -> Verdict {
+        let contract = &context.request.profile.contract;
         let repeatable = snapshot.directory.contract(contract).is_some_and(|contract| contract.repeatable);
-        let profile = self.profile_now(passage);
+        let profile = self.profile_now(context);
         let now = self.clock.now();
         let mut machine = GatewayRequest::new(self.config.clone(), &profile, repeatable, targets, now);
         let mut open = None;
         loop {
             for action in self.poll(&mut machine) {
-                if let Some(verdict) = self.carry_out(action, &mut machine, &mut open, snapshot, passage) {
+                if let Some(verdict) = self.carry_out(action, &mut machine, &mut open, snapshot, context) {
                     return verdict;
                 }
             }
-            self.wait_for_event(&mut machine, &mut open, passage);
+            self.wait_for_event(&mut machine, &mut open, context);
         }
     }
 
@@ -201,14 +206,14 @@
         machine.poll(&mut budget, self.clock.now())
     }
 
-    /// Carries out an action; the verdict when the request has ended.
+    /// Carries out an action; returns the verdict when the request has ended.
     fn carry_out(
         &self,
         action: GatewayAction,
         machine: &mut GatewayRequest,
         open: &mut Option<OpenHop>,
         snapshot: &ControlSnapshot,
-        passage: &mut Passage<'_>,
+        context: &mut RequestContext<'_>,
     ) -> Option<Verdict> {
         match action {
             GatewayAction::Forward { attempt, target, resume_from, time_left } => {
@@ -216,8 +221,8 @@
                 if attempt > FIRST_ATTEMPT {
                     self.metrics.gateway_retries.inc();
                 }
-                let profile = RequestProfile { time_left, ..passage.request.profile.clone() };
-                let request = HopRequest { profile, prompt: passage.request.prompt.clone(), resume_from };
+                let profile = RequestProfile { time_left, ..context.request.profile.clone() };
+                let request = HopRequest { profile, prompt: context.request.prompt.clone(), resume_from };
                 match self.hops.open(attempt, &target, snapshot.me, request) {
                     Ok(hop) => *open = Some(OpenHop { hop, pool: target.pool }),
                     Err(event) => machine.step(event, self.clock.now()),
@@ -225,15 +230,15 @@
                 None
             }
             GatewayAction::Revoke { attempt, peer } => {
-                let request = passage.request.profile.id;
+                let request = context.request.profile.id;
                 let event = self.hops.revoke(attempt, peer, snapshot.me, request);
-                self.metrics.revocations.get_or_create(&OutcomeLabel::of_revocation(found(&event))).inc();
+                self.metrics.revocations.get_or_create(&OutcomeLabel::of_revocation(revocation_result(&event))).inc();
                 *open = None;
                 machine.step(event, self.clock.now());
                 None
             }
             GatewayAction::Deliver(piece) => {
-                if passage.answer.piece(piece).is_err() {
+                if context.answer.piece(piece).is_err() {
                     machine.step(GatewayEvent::CallerGone, self.clock.now());
                 }
                 None
@@ -242,13 +247,13 @@
         }
     }
 
-    fn wait_for_event(&self, machine: &mut GatewayRequest, open: &mut Option<OpenHop>, passage: &Passage<'_>) {
-        if passage.hang_up.is_set() {
+    fn wait_for_event(&self, machine: &mut GatewayRequest, open: &mut Option<OpenHop>, context: &RequestContext<'_>) {
+        if context.hang_up.is_set() {
             return machine.step(GatewayEvent::CallerGone, self.clock.now());
         }
         let Some(mut current) = open.take() else { return };
         let wait = self.wait_until_poll(machine);
-        match current.hop.receive(wait, passage.hang_up) {
+        match current.hop.receive(wait, context.hang_up) {
             HopEvent::Silent => *open = Some(current),
             HopEvent::Event(event, load) => {
                 self.observe(&current.pool, load);
@@ -264,10 +269,10 @@
         }
     }
 
-    /// How long the machine can wait for an event: until its deadline at most.
+    /// How long to wait for an event: at most until the state machine's next poll.
     fn wait_until_poll(&self, machine: &GatewayRequest) -> Duration {
         let next = machine.next_poll().map(|next| next.since(self.clock.now()));
-        next.map_or(EVENT_WAIT, |next| next.min(EVENT_WAIT))
+        next.map_or(EVENT_TIMEOUT, |next| next.min(EVENT_TIMEOUT))
     }
 
     fn observe(&self, pool: &PoolId, load: Option<PoolLoad>) {
@@ -277,52 +282,52 @@
         }
     }
 
-    /// Waits until a pool of the model has other owners than in `snapshot`; `false` when none has in time.
-    fn await_new_owners(&self, snapshot: &ControlSnapshot, passage: &Passage<'_>, until: Timestamp) -> bool {
-        let model = &passage.request.profile.model;
+    /// Waits until a pool of the model has another owner than in `snapshot`; returns `false` if none has by `until`.
+    fn await_new_owners(&self, snapshot: &ControlSnapshot, context: &RequestContext<'_>, until: Timestamp) -> bool {
+        let model = &context.request.profile.model;
         let owners = |snapshot: &ControlSnapshot| -> Vec<_> {
             snapshot.routes_of(model).map(|route| route.owners.first().copied()).collect()
         };
         let tried = owners(snapshot);
-        while self.clock.now() < until && !passage.hang_up.is_set() {
+        while self.clock.now() < until && !context.hang_up.is_set() {
             if owners(&self.snapshot.load()) != tried {
                 return true;
             }
-            thread::sleep(CHECK_EVERY);
+            thread::sleep(OWNER_CHECK_INTERVAL);
         }
         false
     }
 
-    fn profile_now(&self, passage: &Passage<'_>) -> RequestProfile {
-        let time_left = passage.deadline.since(self.clock.now());
-        RequestProfile { time_left, ..passage.request.profile.clone() }
+    fn profile_now(&self, context: &RequestContext<'_>) -> RequestProfile {
+        let time_left = context.deadline.since(self.clock.now());
+        RequestProfile { time_left, ..context.request.profile.clone() }
     }
 }
 
-/// Gives the outcome of the earlier request with the same key.
+/// Replays the outcome of the earlier request with the same key.
 fn replay(earlier: RecordedOutcome, request: RequestId, answer: &mut dyn AnswerSink) -> Verdict {
     answer.replayed();
     match (earlier.verdict, earlier.answer) {
         (Verdict::Completed, Some(recorded)) => {
-            // A caller that has hung up does not get the answer; the verdict stays true.
+            // A caller that has hung up does not get the answer; the verdict is still correct.
             let _ = answer.piece(recorded.into_piece(request));
             Verdict::Completed
         }
-        // The request has run, but its answer was too long to be kept.
+        // The request has run, but its answer was too long to be recorded.
         _ => Verdict::MayHaveRun(MayHaveRun::KeyUsed),
     }
 }
 
-/// What a revocation found; `None` when its answer is lost.
-fn found(event: &GatewayEvent) -> Option<Revocation> {
+/// Returns the result of a revocation; `None` when its reply is lost.
+fn revocation_result(event: &GatewayEvent) -> Option<Revocation> {
     match event {
         GatewayEvent::Revoked { revocation, .. } => Some(*revocation),
         _ => None,
     }
 }
 
-/// Whether a refusal may come from a pool that is changing hands.
-fn changes_hands(reason: NotRunReason) -> bool {
+/// Whether a refusal may come from a pool whose owner is changing.
+fn indicates_owner_change(reason: NotRunReason) -> bool {
     matches!(
         reason,
         NotRunReason::DispatcherUnreachable
@@ -342,7 +347,7 @@
         };
         let prompt_tokens = request.profile.prompt_tokens;
         let mut recording = RecordingSink::new(answer, self.admission.answer_bytes_maximum());
-        let verdict = self.pass_once(request, &mut recording, hang_up);
+        let verdict = self.claim_and_dispatch(request, &mut recording, hang_up);
         let used = match verdict {
             Verdict::NotRun(_) => 0,
             Verdict::Completed | Verdict::MayHaveRun(_) => prompt_tokens.saturating_add(recording.tokens()),
--- a/crates/node/src/traffic/hop.rs
+++ b/crates/node/src/traffic/hop.rs
@@ -1,4 +1,4 @@
-//! One hop of a request: to a dispatcher on this node, or over a connection to a dispatching node.
+//! One hop of a request: to a dispatcher on this node, or over a connection to another dispatching node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,9 +18,9 @@
 use crate::http_server::HangUp;
 use crate::peers::{ForwardClient, ForwardConnection, ForwardError, ForwardService};
 
-/// What is sent over a hop.
+/// A request as it is sent over a hop.
 pub struct HopRequest {
-    /// What the request asks for, with the time that is left now.
+    /// The request's profile, with the time left until its deadline.
     pub profile: RequestProfile,
     /// The prompt's text.
     pub prompt: String,
@@ -28,7 +28,7 @@
     pub resume_from: u32,
 }
 
-/// Opens hops and revokes what was sent over them.
+/// Opens hops and revokes requests that were sent over them.
 pub struct Hops {
     local: Arc<PoolRegistry>,
     remote: ForwardClient,
@@ -37,24 +37,24 @@
 /// An open hop.
 pub struct Hop {
     attempt: AttemptNumber,
-    way: Way,
+    transport: Transport,
 }
 
-enum Way {
+enum Transport {
     Local { events: Receiver<AnswerEvent>, me: Member },
     Remote { connection: ForwardConnection, request: RequestId },
 }
 
-/// What came over a hop.
+/// The result of waiting on a hop.
 pub enum HopEvent {
-    /// An event for the request's machine, and the pool's load where the dispatcher has told it.
+    /// An event for the request's state machine, and the pool's load if the dispatcher reported it.
     Event(GatewayEvent, Option<PoolLoad>),
-    /// Nothing came within the time.
+    /// No event arrived: the wait timed out or was interrupted, or the message did not apply to the request.
     Silent,
 }
 
 impl Hops {
-    /// Hops to the pools of this node and to other nodes.
+    /// Creates hops to the pools of this node and to other nodes.
     pub fn new(local: Arc<PoolRegistry>, remote: ForwardClient) -> Self {
         Hops { local, remote }
     }
@@ -62,7 +62,7 @@
     /// Sends a request to `target`, which is this node when it is `me`.
     ///
     /// # Errors
-    /// The event that tells what became of the attempt.
+    /// The event that ends the attempt.
     pub fn open(
         &self,
         attempt: AttemptNumber,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Withdraws a request from the process `peer` that it was sent to.
+    /// Revokes a request at the process `peer` that it was sent to.
     pub fn revoke(&self, attempt: AttemptNumber, peer: Member, me: Member, request: RequestId) -> GatewayEvent {
         if peer == me {
             return GatewayEvent::Revoked { attempt, from: me, revocation: self.local.revoke(request) };
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Gives the connection of a hop back whose request has ended.
+    /// Returns the connection of a hop whose request has ended to the client, for reuse.
     pub fn close(&self, hop: Hop) {
-        if let Way::Remote { connection, .. } = hop.way {
+        if let Transport::Remote { connection, .. } = hop.transport {
             self.remote.give_back(connection);
         }
     }
@@ -107,12 +107,12 @@
         me: Member,
         request: HopRequest,
     ) -> Result<Hop, GatewayEvent> {
-        // Unbounded, since an answer's length is bounded by the request: a slow caller must not hold up the engine.
+        // Unbounded, so that a slow caller does not block the engine; the request bounds the answer's length.
         let (answer, events) = unbounded();
         let HopRequest { profile, prompt, resume_from } = request;
         let submitted = SubmittedRequest { profile, prompt, resume_from, answer };
         match self.local.submit(&target.pool, submitted) {
-            Ok(()) => Ok(Hop { attempt, way: Way::Local { events, me } }),
+            Ok(()) => Ok(Hop { attempt, transport: Transport::Local { events, me } }),
             Err(refusal) => Err(GatewayEvent::Ended { attempt, verdict: Verdict::NotRun(refusal) }),
         }
     }
@@ -122,7 +122,7 @@
         let id = profile.id;
         let submit = ForwardRequest::Submit { pool: target.pool.clone(), profile, prompt, resume_from };
         match self.remote.submit(target.dispatcher.address, &submit) {
-            Ok(connection) => Ok(Hop { attempt, way: Way::Remote { connection, request: id } }),
+            Ok(connection) => Ok(Hop { attempt, transport: Transport::Remote { connection, request: id } }),
             Err((_, Some(peer))) => Err(GatewayEvent::Lost { attempt, peer }),
             Err((_, None)) => Err(GatewayEvent::NotSent { attempt }),
         }
@@ -130,16 +130,16 @@
 }
 
 impl Hop {
-    /// Waits for what comes next, at most for `wait`. On this node, a hang-up of the caller ends the wait.
+    /// Waits at most `wait` for the next event. On a local hop, a hang-up of the caller interrupts the wait.
     pub fn receive(&mut self, wait: Duration, hang_up: &HangUp) -> HopEvent {
         let attempt = self.attempt;
-        match &mut self.way {
-            Way::Local { events, me } => select! {
+        match &mut self.transport {
+            Transport::Local { events, me } => select! {
                 recv(events) -> event => local_event(attempt, event, *me),
                 recv(hang_up.over()) -> _ => HopEvent::Silent,
                 default(wait) => HopEvent::Silent,
             },
-            Way::Remote { connection, request } => receive_remote(attempt, connection, *request, wait),
+            Transport::Remote { connection, request } => receive_remote(attempt, connection, *request, wait),
         }
     }
 }
--- a/crates/node/src/traffic/mod.rs
+++ b/crates/node/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! Traffic: requests between callers, dispatching nodes and engines, on threads of their own.
+//! Traffic: relays requests between callers, dispatching nodes and engines, on its own threads.
 
 mod answer;
 mod attempt;
--- a/crates/node/src/traffic/pool_factory.rs
+++ b/crates/node/src/traffic/pool_factory.rs
@@ -1,4 +1,4 @@
-//! Makes the dispatchers of pools, and keeps them to the configuration in force.
+//! Creates the dispatchers of pools and applies configuration changes to them.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::clock::Clock;
 use crate::engines::EngineApi;
 
-/// Makes dispatchers.
+/// Creates dispatchers.
 pub struct PoolFactory {
     config: DispatchConfig,
     engines: Arc<dyn EngineApi>,
@@ -20,7 +20,7 @@
 }
 
 impl PoolFactory {
-    /// A factory of dispatchers with the limits in `config`.
+    /// Creates a factory of dispatchers with the limits in `config`.
     pub fn new(config: DispatchConfig, engines: Arc<dyn EngineApi>, clock: Clock) -> Self {
         PoolFactory { config, engines, clock }
     }
@@ -28,17 +28,18 @@
     /// Starts the dispatcher of a pool.
     ///
     /// # Errors
-    /// When the configuration names a placement policy that can't be created; one in force was validated.
+    /// When the configuration names a placement policy that can't be created. This does not happen with a
+    /// configuration in force, since it was validated.
     pub fn start(&self, configuration: &Configuration, pool: &PoolId) -> Result<Arc<PoolRuntime>, PolicyError> {
         let mut dispatcher = Dispatcher::new(self.config.clone(), placement(configuration, pool)?);
         dispatcher.set_contracts(configuration.contracts.clone());
         Ok(PoolRuntime::start(dispatcher, Arc::clone(&self.engines), self.clock))
     }
 
-    /// Keeps a running dispatcher to a new configuration.
+    /// Applies a new configuration to a running dispatcher.
     ///
     /// # Errors
-    /// As [`PoolFactory::start`]; the dispatcher then goes on as before.
+    /// Same as [`PoolFactory::start`]; the dispatcher then keeps its previous configuration.
     pub fn configure(
         &self,
         runtime: &PoolRuntime,
--- a/crates/node/src/traffic/pool_runtime.rs
+++ b/crates/node/src/traffic/pool_runtime.rs
@@ -22,30 +22,31 @@
 use crate::engines::EngineApi;
 use crate::engines::dialect::GenerateRequest;
 
-/// The longest time between two polls, so that a mistake in the next poll's time costs little.
-const POLL_AT_LEAST_EVERY: Duration = Duration::from_millis(100);
+/// The longest time between two polls, which limits the effect of a wrong next poll time.
+const POLL_INTERVAL_MAXIMUM: Duration = Duration::from_millis(100);
 
-/// Stack of an attempt's thread. It holds a line buffer and HTTP state, no recursion; a node runs hundreds of them.
+/// Stack size of an attempt's thread. The stack holds a line buffer and HTTP state, without recursion; a node runs
+/// hundreds of these threads.
 const ATTEMPT_STACK_BYTES: usize = 256 * 1024;
 
-/// A request as it is handed to the dispatching node.
+/// A request as it is submitted to the dispatching node.
 pub struct SubmittedRequest {
-    /// What the request asks for.
+    /// The request's profile.
     pub profile: RequestProfile,
     /// The prompt's text.
     pub prompt: String,
     /// Tokens of the answer that the caller already has.
     pub resume_from: u32,
-    /// Where the answer goes.
+    /// Channel that receives the answer.
     pub answer: Sender<AnswerEvent>,
 }
 
 /// An engine of the pool, with its address.
 #[derive(Clone, Debug)]
 pub struct EngineTarget {
-    /// What the dispatcher needs to know.
+    /// The engine as the dispatcher sees it.
     pub slot: EngineSlot,
-    /// Where the engine's API listens.
+    /// Address of the engine's API.
     pub address: Address,
 }
 
@@ -66,12 +67,12 @@
     reports: BTreeMap<EngineName, ReportedWork>,
 }
 
-/// The work on an engine as the engine last reported it.
+/// The load of an engine as it last reported it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedWork {
-    /// Requests that run or wait there, whoever sent them.
+    /// Requests that run or wait on the engine, from all senders.
     pub requests: u32,
-    /// When that was true.
+    /// The time that the report describes.
     pub at: Timestamp,
 }
 
@@ -108,10 +109,10 @@
         runtime
     }
 
-    /// Takes a request in. Its answer and its end come through [`SubmittedRequest::answer`].
+    /// Submits a request. Its answer and its verdict are sent to [`SubmittedRequest::answer`].
     ///
     /// # Errors
-    /// When the request is refused; it has not run and will not.
+    /// When the request is refused; it has not run and will not run.
     pub fn submit(&self, request: SubmittedRequest) -> Result<(), NotRun> {
         let mut state = self.lock();
         let id = request.profile.id;
@@ -130,7 +131,7 @@
         Ok(())
     }
 
-    /// Withdraws a request.
+    /// Revokes a request.
     pub fn revoke(&self, request: RequestId) -> Revocation {
         let mut state = self.lock();
         let revocation = state.dispatcher.revoke(request, self.clock.now());
@@ -142,13 +143,13 @@
         revocation
     }
 
-    /// Replaces the engines of the pool. After `may_place_until` nothing is placed any more until the next call: a
-    /// process that wakes from a pause must not act on what it knew before.
+    /// Replaces the engines of the pool. After `may_place_until` no request is placed until the next call: a process
+    /// that resumes after a pause must not act on stale state.
     pub fn set_engines(self: &Arc<Self>, engines: Vec<EngineTarget>, may_place_until: Option<Timestamp>) {
         let mut state = self.lock();
         let addresses = engines.iter().map(|engine| (engine.slot.name.clone(), engine.address)).collect();
-        let former = std::mem::replace(&mut state.addresses, addresses);
-        let new = state.addresses.keys().filter(|engine| !former.contains_key(*engine));
+        let previous = std::mem::replace(&mut state.addresses, addresses);
+        let new = state.addresses.keys().filter(|engine| !previous.contains_key(*engine));
         for engine in new {
             watch_engine(Arc::downgrade(self), engine.clone());
         }
@@ -159,7 +160,7 @@
         self.wake();
     }
 
-    /// Gives all waiting requests back to their gateways: this node no longer owns the pool. What runs goes on.
+    /// Returns all waiting requests to their gateways: this node no longer owns the pool. Running requests continue.
     pub fn release(&self) {
         let mut state = self.lock();
         state.owner = false;
@@ -173,7 +174,7 @@
         self.lock().owner
     }
 
-    /// Where an engine of the pool listens.
+    /// Returns the address of an engine of the pool.
     pub fn address(&self, engine: &EngineName) -> Option<Address> {
         self.lock().addresses.get(engine).copied()
     }
@@ -183,7 +184,7 @@
         &*self.engines
     }
 
-    /// Takes in what an engine reports of its load.
+    /// Records an engine's load report.
     pub fn record_load(&self, engine: &EngineName, load: ReportedLoad) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -191,27 +192,27 @@
         state.dispatcher.step(EngineEvent::Load { engine: engine.clone(), load }, now);
     }
 
-    /// What an engine last reported of its work.
+    /// Returns the load that an engine last reported.
     pub fn reported_work(&self, engine: &EngineName) -> ReportedWork {
         self.lock().reports.get(engine).copied().unwrap_or_default()
     }
 
-    /// Takes in what an engine did.
+    /// Applies an engine event to the dispatcher.
     pub fn engine_event(&self, event: EngineEvent) {
         self.lock().dispatcher.step(event, self.clock.now());
     }
 
-    /// Reads or changes the dispatcher, for control.
+    /// Gives control access to read or change the dispatcher.
     pub fn with_dispatcher<Result>(&self, action: impl FnOnce(&mut Dispatcher, Timestamp) -> Result) -> Result {
         action(&mut self.lock().dispatcher, self.clock.now())
     }
 
-    /// How busy the pool is.
+    /// Returns the pool's load.
     pub fn load(&self) -> PoolLoad {
         self.lock().dispatcher.load()
     }
 
-    /// Requests that wait or run.
+    /// Number of requests that wait or run.
     pub fn open_requests(&self) -> usize {
         self.lock().requests.len()
     }
@@ -221,11 +222,11 @@
     }
 
     fn wake(&self) {
-        // A full channel means that a wake-up is already on its way.
+        // A full channel means that a wake-up is already pending.
         let _ = self.wake.try_send(());
     }
 
-    /// Carries out what the dispatcher wants, and tells how long it can wait until the next time.
+    /// Carries out the dispatcher's actions and returns the time to wait until the next poll.
     fn poll(self: &Arc<Self>) -> Duration {
         let mut state = self.lock();
         let now = self.clock.now();
@@ -237,7 +238,7 @@
             self.carry_out(&mut state, action);
         }
         let next = state.dispatcher.next_poll();
-        next.map_or(POLL_AT_LEAST_EVERY, |next| next.since(now).min(POLL_AT_LEAST_EVERY))
+        next.map_or(POLL_INTERVAL_MAXIMUM, |next| next.since(now).min(POLL_INTERVAL_MAXIMUM))
     }
 
     fn carry_out(self: &Arc<Self>, state: &mut PoolState, action: DispatchAction) {
@@ -335,12 +336,12 @@
 
 fn end_request(state: &mut PoolState, request: RequestId, verdict: Verdict) {
     if let Some(active) = state.requests.remove(&request) {
-        // The receiver is gone when the caller has hung up; the verdict then has no reader.
+        // The receiver is dropped when the caller has hung up; the verdict is then discarded.
         let _ = active.answer.try_send(AnswerEvent::End(verdict));
     }
 }
 
 fn wait_for_wake(woken: &Receiver<()>, wait: Duration) {
-    // Both outcomes, woken and timed out, mean that the dispatcher is polled again.
+    // The dispatcher is polled again in both cases, wake-up and timeout.
     let _ = woken.recv_timeout(wait);
 }
--- a/crates/node/src/traffic/registry.rs
+++ b/crates/node/src/traffic/registry.rs
@@ -15,7 +15,7 @@
 use crate::metrics::PoolCounts;
 use crate::peers::ForwardService;
 
-/// The dispatchers of this node, by pool. Control adds and updates them; traffic finds them.
+/// The dispatchers of this node, by pool. Control adds and updates them; traffic looks them up.
 pub struct PoolRegistry {
     snapshot: SharedSnapshot,
     pools: Mutex<BTreeMap<PoolId, Arc<PoolRuntime>>>,
@@ -23,17 +23,17 @@
 }
 
 impl PoolRegistry {
-    /// A registry without pools.
+    /// Creates an empty registry.
     pub fn new(snapshot: SharedSnapshot, clock: Clock) -> Self {
         PoolRegistry { snapshot, pools: Mutex::new(BTreeMap::new()), clock }
     }
 
-    /// The dispatcher of a pool.
+    /// Returns the dispatcher of a pool.
     pub fn get(&self, pool: &PoolId) -> Option<Arc<PoolRuntime>> {
         self.lock().get(pool).cloned()
     }
 
-    /// All dispatchers.
+    /// Returns all dispatchers.
     pub fn all(&self) -> Vec<(PoolId, Arc<PoolRuntime>)> {
         self.lock().iter().map(|(id, pool)| (id.clone(), Arc::clone(pool))).collect()
     }
@@ -43,17 +43,17 @@
         self.lock().insert(pool, runtime);
     }
 
-    /// Forgets the dispatcher of a pool that is gone from configuration; its open requests go on until they end.
+    /// Removes the dispatcher of a pool that was removed from the configuration; its open requests run to their end.
     pub fn remove(&self, pool: &PoolId) {
         self.lock().remove(pool);
     }
 
-    /// Requests that wait or run here.
+    /// Number of requests that wait or run on this node.
     pub fn open_requests(&self) -> usize {
         self.all().iter().map(|(_, pool)| pool.open_requests()).sum()
     }
 
-    /// What the dispatchers have counted, for metrics.
+    /// Returns the counters of the dispatchers, for metrics.
     pub fn counts(&self) -> Vec<PoolCounts> {
         let counts = |(pool, runtime): (PoolId, Arc<PoolRuntime>)| {
             runtime.with_dispatcher(|dispatcher, _| PoolCounts {
@@ -84,7 +84,7 @@
         runtime.submit(request)
     }
 
-    /// Every pool is told, since the request may not have arrived yet and each must refuse it when it does.
+    /// Revokes the request in every pool: it may not have arrived yet, and each pool must refuse it when it does.
     fn revoke(&self, request: RequestId) -> Revocation {
         let revocations: Vec<Revocation> = self.all().into_iter().map(|(_, pool)| pool.revoke(request)).collect();
         let not_started = revocations.iter().all(|revocation| *revocation == Revocation::BeforeStart);
--- a/crates/node/tests/admission_status.rs
+++ b/crates/node/tests/admission_status.rs
@@ -1,4 +1,4 @@
-//! What the status tells of claims and limits.
+//! Tests of the claims and limits in the operators' status.
 
 use std::time::Duration;
 
@@ -36,14 +36,14 @@
     configuration.tenants
 }
 
-/// Time between two looks for what is due.
-const STEP: Duration = Duration::from_millis(50);
+/// Time between two polls for due work.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Virtual time by which everything has happened: a new home leases nothing for 10 s.
-const GIVE_UP: Timestamp = Timestamp::from_millis(30_000);
+/// Virtual time by which each test must have finished: a new home leases nothing for 10 s.
+const TEST_DEADLINE: Timestamp = Timestamp::from_millis(30_000);
 
-/// The state of the only node.
-fn alone() -> AdmissionState {
+/// Creates the state of the only node.
+fn single_node_state() -> AdmissionState {
     let start = Timestamp::ZERO;
     let mut state = AdmissionState::new(me(), ClaimConfig::default(), LimitConfig::default(), start);
     let configuration: Configuration = toml::from_str(CONFIGURATION).expect("valid");
@@ -54,8 +54,8 @@
     state
 }
 
-/// Does what is due: the node answers its own messages, and a store that is empty takes every write.
-fn work(state: &mut AdmissionState, now: Timestamp) {
+/// Carries out due work: the node answers its own messages, and an empty store accepts every write.
+fn carry_out_due_work(state: &mut AdmissionState, now: Timestamp) {
     let due = state.take_due(now);
     for outgoing in due.messages {
         let mut next = Some(outgoing);
@@ -69,59 +69,64 @@
             StoreRequest::CompareAndSet { .. } => StoreReply::Written(Revision(1)),
         };
         state.keeper.store_replied(reply, now);
-        state.share_map(now);
+        state.distribute_map(now);
     }
 }
 
-fn in_use(state: &AdmissionState) -> Vec<TenantStatus> {
+fn tenant_statuses(state: &AdmissionState) -> Vec<TenantStatus> {
     state.status(&tenants()).tenants
 }
 
 #[test]
-fn permits_in_use_are_told_for_tenants_with_limits() {
-    let mut state = alone();
+fn permits_in_use_are_reported_for_tenants_with_limits() {
+    let mut state = single_node_state();
     let press = TenantName::from("press");
     let status = |permits_in_use| vec![TenantStatus { tenant: press.clone(), permits_in_use }];
-    assert_eq!(in_use(&state), status(0));
+    assert_eq!(tenant_statuses(&state), status(0));
     let mut now = Timestamp::from_millis(10);
-    // The first request sets off the lease request, which the node answers itself.
+    // The first request triggers the lease request, which the node answers itself.
     assert!(state.limiter.try_admit(&press, 10, now).is_err());
     let mut permits = Vec::new();
     while permits.len() < 2 {
-        now = now + STEP;
-        assert!(now < GIVE_UP, "a share is leased");
-        work(&mut state, now);
+        now = now + POLL_INTERVAL;
+        assert!(now < TEST_DEADLINE, "a share is leased");
+        carry_out_due_work(&mut state, now);
         permits.extend(state.limiter.try_admit(&press, 10, now));
     }
-    assert_eq!(in_use(&state), status(2));
+    assert_eq!(tenant_statuses(&state), status(2));
     for permit in permits {
         state.limiter.release(permit, 10, now);
     }
-    assert_eq!(in_use(&state), status(0));
+    assert_eq!(tenant_statuses(&state), status(0));
 }
 
 #[test]
 fn a_node_without_a_slot_map_holds_nothing() {
-    assert_eq!(alone().status(&tenants()).claims, Default::default());
+    assert_eq!(single_node_state().status(&tenants()).claims, Default::default());
 }
 
 #[test]
-fn slots_and_keys_are_counted_once_there_is_a_map() {
-    let mut state = alone();
+fn slots_and_keys_are_counted_once_a_map_exists() {
+    let mut state = single_node_state();
     state.set_listed([me().address].into(), Timestamp::ZERO);
     let mut now = Timestamp::ZERO;
     while state.status(&[]).claims.slots_voting == 0 {
-        now = now + STEP;
-        assert!(now < GIVE_UP, "a first map is founded");
-        work(&mut state, now);
+        now = now + POLL_INTERVAL;
+        assert!(now < TEST_DEADLINE, "the first map is created");
+        carry_out_due_work(&mut state, now);
     }
-    let whole = u32::from(SLOTS);
-    let founded =
-        ClaimStatus { slot_map: MapVersion(1), slots_held: whole, slots_voting: whole, records: 0, answer_bytes: 0 };
-    assert_eq!(state.status(&[]).claims, founded);
+    let all_slots = u32::from(SLOTS);
+    let first_status = ClaimStatus {
+        slot_map: MapVersion(1),
+        slots_held: all_slots,
+        slots_voting: all_slots,
+        records: 0,
+        answer_bytes: 0,
+    };
+    assert_eq!(state.status(&[]).claims, first_status);
 
     let key = IdempotencyKey { tenant: TenantName::from("press"), key: "ticket 17".to_owned() };
-    state.client.claim(key, RequestId(1), now + Duration::from_secs(30), now).expect("taken on");
-    work(&mut state, now);
-    assert_eq!(state.status(&[]).claims, ClaimStatus { records: 1, ..founded });
+    state.client.claim(key, RequestId(1), now + Duration::from_secs(30), now).expect("the claim is accepted");
+    carry_out_due_work(&mut state, now);
+    assert_eq!(state.status(&[]).claims, ClaimStatus { records: 1, ..first_status });
 }
--- a/crates/node/tests/traffic_metrics.rs
+++ b/crates/node/tests/traffic_metrics.rs
@@ -1,4 +1,4 @@
-//! What the metrics tell of pools, trials, orders and revocations.
+//! Tests of the metrics of pools, trials, orders, revocations and claims.
 
 use std::collections::BTreeSet;
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Two pools with counts that all differ.
+/// Returns the counts of two pools; all counters have different values.
 fn counts() -> Vec<PoolCounts> {
     let ids = pools();
     let dispatch = |first: u64| DispatchCounters {
@@ -68,15 +68,15 @@
     ]
 }
 
-/// The samples of `metrics` whose names start with `havengate_` and one of `names`.
+/// Returns the samples of the counters `havengate_{name}_total` for each of `names`.
 fn samples(metrics: &Metrics, names: &[&str]) -> BTreeSet<String> {
     let text = metrics.encode().expect("text");
-    let of_name = |line: &str| names.iter().any(|name| line.starts_with(&format!("havengate_{name}_total{{")));
-    text.lines().filter(|line| of_name(line)).map(str::to_owned).collect()
+    let has_name = |line: &str| names.iter().any(|name| line.starts_with(&format!("havengate_{name}_total{{")));
+    text.lines().filter(|line| has_name(line)).map(str::to_owned).collect()
 }
 
 #[test]
-fn dispatchers_are_counted_by_pool() {
+fn dispatch_counters_are_labelled_by_pool() {
     let metrics = Metrics::new().with_pool_counts(counts);
     let names = ["attempts", "retries", "retries_denied", "shed", "expired", "ejections"];
     let mut expected = BTreeSet::new();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn arms_of_a_trial_are_summed_over_the_pools() {
+fn trial_arm_outcomes_are_summed_over_pools() {
     let metrics = Metrics::new().with_pool_counts(counts);
     let line = |arm: &str, outcome: &str, count: u64| {
         format!("havengate_arm_requests_total{{arm=\"{arm}\",outcome=\"{outcome}\"}} {count}")
@@ -107,10 +107,10 @@
 }
 
 #[test]
-fn counts_are_read_anew_whenever_metrics_are_written() {
-    let written = std::sync::atomic::AtomicU64::new(0);
+fn pool_counts_are_read_again_for_each_encoding() {
+    let encodings = std::sync::atomic::AtomicU64::new(0);
     let metrics = Metrics::new().with_pool_counts(move || {
-        let started = 1 + written.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        let started = 1 + encodings.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let dispatch = DispatchCounters { started, ..DispatchCounters::default() };
         vec![PoolCounts { pool: pools()[0].clone(), dispatch, arms: Vec::new() }]
     });
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn answers_to_orders_have_codes_of_their_own() {
+fn order_replies_have_distinct_outcome_labels() {
     let report = EngineReport {
         fence: Term(3),
         order: None,
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_revocation_without_an_answer_is_unknown() {
+fn a_revocation_without_a_reply_is_labelled_unknown() {
     let cases = [
         (Some(Revocation::BeforeStart), "before_start"),
         (Some(Revocation::AfterStart), "after_start"),
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn claims_are_told_apart_by_how_they_ended() {
+fn claims_are_labelled_by_outcome() {
     let refused = |reason| ClaimOutcome::Refused(NotRun::new(reason));
     let earlier = RecordedOutcome { verdict: Verdict::Completed, answer: None };
     let cases = [
