--- a/crates/node/src/admission/service.rs
+++ b/crates/node/src/admission/service.rs
@@ -26,10 +26,10 @@
 use crate::platform::PlatformApi;
 
 /// The longest time between two polls for due work.
-const POLL_INTERVAL_MAXIMUM: Duration = Duration::from_millis(50);
+const ADMISSION_POLL_INTERVAL_MAXIMUM: Duration = Duration::from_millis(50);
 
 /// The shortest time between two polls for due work.
-const POLL_INTERVAL_MINIMUM: Duration = Duration::from_millis(1);
+const ADMISSION_POLL_INTERVAL_MINIMUM: Duration = Duration::from_millis(1);
 
 /// How long a request may wait for a pending lease of its tenant's limits. It covers the round trip to a tenant's home
 /// in another region.
@@ -188,7 +188,7 @@
         }
         self.wake();
         loop {
-            match decision.recv_timeout(POLL_INTERVAL_MAXIMUM) {
+            match decision.recv_timeout(ADMISSION_POLL_INTERVAL_MAXIMUM) {
                 Ok(ClaimOutcome::Won) => return Ok(ClaimedKey { request }),
                 Ok(outcome) => return Err(outcome),
                 Err(RecvTimeoutError::Timeout) if !hang_up.is_set() => {}
@@ -241,7 +241,7 @@
             (due, state.next_due(now))
         };
         self.carry_out(due);
-        next.since(self.clock.now()).clamp(POLL_INTERVAL_MINIMUM, POLL_INTERVAL_MAXIMUM)
+        next.since(self.clock.now()).clamp(ADMISSION_POLL_INTERVAL_MINIMUM, ADMISSION_POLL_INTERVAL_MAXIMUM)
     }
 
     fn carry_out(self: &Arc<Self>, due: DueWork) {
--- a/crates/node/src/traffic/engine_watch.rs
+++ b/crates/node/src/traffic/engine_watch.rs
@@ -12,7 +12,7 @@
 use crate::engines::dialect::{CacheEvents, LoadReport};
 
 /// Time between two polls. Reports lag by about as much anyway; they only correct the dispatcher's estimates.
-const POLL_INTERVAL: Duration = Duration::from_millis(500);
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Stack size of a watching thread.
 const STACK_BYTES: usize = 256 * 1024;
@@ -28,7 +28,7 @@
                 after = poll_engine(&runtime, &engine, address, after);
             }
             drop(runtime);
-            thread::sleep(POLL_INTERVAL);
+            thread::sleep(ENGINE_POLL_INTERVAL);
         }
     };
     if let Err(error) = thread::Builder::new().stack_size(STACK_BYTES).name("engine-watch".to_owned()).spawn(watch) {
--- a/crates/node/src/traffic/pool_runtime.rs
+++ b/crates/node/src/traffic/pool_runtime.rs
@@ -23,7 +23,7 @@
 use crate::engines::dialect::GenerateRequest;
 
 /// The longest time between two polls, which limits the effect of a wrong next poll time.
-const POLL_INTERVAL_MAXIMUM: Duration = Duration::from_millis(100);
+const DISPATCHER_POLL_INTERVAL_MAXIMUM: Duration = Duration::from_millis(100);
 
 /// Stack size of an attempt's thread. The stack holds a line buffer and HTTP state, without recursion; a node runs
 /// hundreds of these threads.
@@ -238,7 +238,7 @@
             self.carry_out(&mut state, action);
         }
         let next = state.dispatcher.next_poll();
-        next.map_or(POLL_INTERVAL_MAXIMUM, |next| next.since(now).min(POLL_INTERVAL_MAXIMUM))
+        next.map_or(DISPATCHER_POLL_INTERVAL_MAXIMUM, |next| next.since(now).min(DISPATCHER_POLL_INTERVAL_MAXIMUM))
     }
 
     fn carry_out(self: &Arc<Self>, state: &mut PoolState, action: DispatchAction) {
--- a/crates/node/tests/admission_status.rs
+++ b/crates/node/tests/admission_status.rs
@@ -37,7 +37,7 @@
 }
 
 /// Time between two polls for due work.
-const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const DUE_WORK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Virtual time by which each test must have finished: a new home leases nothing for 10 s.
 const TEST_DEADLINE: Timestamp = Timestamp::from_millis(30_000);
@@ -88,7 +88,7 @@
     assert!(state.limiter.try_admit(&press, 10, now).is_err());
     let mut permits = Vec::new();
     while permits.len() < 2 {
-        now = now + POLL_INTERVAL;
+        now = now + DUE_WORK_INTERVAL;
         assert!(now < TEST_DEADLINE, "a share is leased");
         carry_out_due_work(&mut state, now);
         permits.extend(state.limiter.try_admit(&press, 10, now));
@@ -111,7 +111,7 @@
     state.set_listed([me().address].into(), Timestamp::ZERO);
     let mut now = Timestamp::ZERO;
     while state.status(&[]).claims.slots_voting == 0 {
-        now = now + POLL_INTERVAL;
+        now = now + DUE_WORK_INTERVAL;
         assert!(now < TEST_DEADLINE, "the first map is created");
         carry_out_due_work(&mut state, now);
     }
