--- a/crates/node/src/callers/api.rs
+++ b/crates/node/src/callers/api.rs
@@ -1,4 +1,4 @@
-//! The callers' API as a handler of HTTP requests.
+//! HTTP handler of the callers' API.
 
 use std::sync::Arc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -9,40 +9,40 @@
 
 use super::body::CompletionKind;
 use super::check::{CheckedRequest, authenticate, check_completion, require_ready};
-use super::delivery::{Delivery, DeliveryForm};
+use super::delivery::{Delivery, DeliveryOptions};
 use super::directory::CallerDirectory;
 use super::error::CallerError;
 use super::format::{AnswerFormat, ModelList};
 use super::handler::{CallerLimits, RequestHandler};
 use super::headers;
-use super::record::{RequestParty, record_end, record_failure, record_refusal};
+use super::record::{RequestAttributes, record_outcome, record_panic, record_refusal};
 use crate::http_server::header::ALLOW;
 use crate::http_server::{Handler, Method, Request, Response, ResponseSender, ServerRefusal, StatusCode};
 use crate::logging::RequestScope;
 use crate::metrics::{Metrics, RefusalLabels};
 
-/// Serves callers: checks their requests, submits them and writes the answers.
+/// Validates callers' requests, submits them and writes the answers.
 pub struct CallerApi {
-    requests: Arc<dyn RequestHandler>,
+    handler: Arc<dyn RequestHandler>,
     limits: CallerLimits,
     metrics: Arc<Metrics>,
 }
 
-/// What a request's method and path ask for.
+/// Endpoint selected by a request's method and path.
 enum Route {
     Models,
     Completion(CompletionKind),
 }
 
 impl CallerApi {
-    /// An API that submits requests to `requests`.
-    pub fn new(requests: Arc<dyn RequestHandler>, limits: CallerLimits, metrics: Arc<Metrics>) -> Self {
-        CallerApi { requests, limits, metrics }
+    /// Creates an API that submits requests to `handler`.
+    pub fn new(handler: Arc<dyn RequestHandler>, limits: CallerLimits, metrics: Arc<Metrics>) -> Self {
+        CallerApi { handler, limits, metrics }
     }
 
     fn models(&self, request: &Request, id: RequestId) -> Response {
-        let directory = self.requests.directory();
-        if let Err(error) = self.tenant_of(request, &directory) {
+        let directory = self.handler.directory();
+        if let Err(error) = self.authenticate_tenant(request, &directory) {
             return error.response(Some(id), false);
         }
         let names = directory.models().map(|model| model.name.as_str());
@@ -53,13 +53,13 @@
 
     fn completion(&self, kind: CompletionKind, request: Request, id: RequestId, response: ResponseSender) {
         let arrival = Instant::now();
-        let directory = self.requests.directory();
-        let tenant = self.tenant_of(&request, &directory);
+        let directory = self.handler.directory();
+        let tenant = self.authenticate_tenant(&request, &directory);
         let checked = tenant.clone().and_then(|tenant| {
-            require_ready(self.requests.readiness())?;
+            require_ready(self.handler.readiness())?;
             check_completion(id, kind, &request, tenant, &directory, &self.limits)
         });
-        // The body's share of the server's memory is free for others from here on.
+        // Returns the body's bytes to the server's memory budget before the request runs.
         drop(request);
         match checked {
             Ok(checked) => self.submit(kind, checked, response, arrival),
@@ -70,24 +70,28 @@
         }
     }
 
-    /// The tenant that asks. A node that isn't ready may lack the configuration that names the tenant: it must not call
-    /// a key unknown, which tells the caller not to ask again.
-    fn tenant_of<'a>(&self, request: &Request, directory: &'a CallerDirectory) -> Result<&'a Tenant, CallerError> {
-        authenticate(request, directory).or_else(|unknown| {
-            require_ready(self.requests.readiness())?;
-            Err(unknown)
+    /// Returns the tenant that sent the request. A node that isn't ready may lack the configuration that defines the
+    /// tenant, so it must not report an unknown key: callers don't retry after that error.
+    fn authenticate_tenant<'a>(
+        &self,
+        request: &Request,
+        directory: &'a CallerDirectory,
+    ) -> Result<&'a Tenant, CallerError> {
+        authenticate(request, directory).or_else(|error| {
+            require_ready(self.handler.readiness())?;
+            Err(error)
         })
     }
 
     fn submit(&self, kind: CompletionKind, checked: CheckedRequest, response: ResponseSender, arrival: Instant) {
-        let party = RequestParty::of(&checked.request.profile);
-        let form = delivery_form(kind, &checked);
+        let attributes = RequestAttributes::from_profile(&checked.request.profile);
+        let options = delivery_options(kind, &checked);
         let hang_up = response.hang_up().clone();
-        let mut delivery = Delivery::new(form, response, &self.metrics, arrival);
-        let _open = OpenStream::count(&self.metrics, &party);
-        let verdict = self.requests.submit(checked.request, &mut delivery, &hang_up);
-        let end = delivery.end(verdict);
-        record_end(&self.metrics, &party, &end);
+        let mut delivery = Delivery::new(options, response, &self.metrics, arrival);
+        let _open = OpenStream::start(&self.metrics, &attributes);
+        let verdict = self.handler.submit(checked.request, &mut delivery, &hang_up);
+        let outcome = delivery.end(verdict);
+        record_outcome(&self.metrics, &attributes, &outcome);
     }
 }
 
@@ -108,7 +112,7 @@
     }
 }
 
-/// A request that no route takes.
+/// Reason why no endpoint matches a request.
 enum RoutingRefusal {
     UnknownPath,
     MethodNotAllowed { allowed: &'static str },
@@ -146,17 +150,17 @@
     Err(RoutingRefusal::MethodNotAllowed { allowed: if allowed == Method::GET { "GET" } else { "POST" } })
 }
 
-/// Counts a request as going on until it is dropped. A handler that panics is recorded too: no request may be missing
-/// from the sums.
+/// Counts a request as open until dropped. If the handler panics, the drop records the request, so that the request
+/// totals include it.
 struct OpenStream<'a> {
     metrics: &'a Metrics,
-    party: &'a RequestParty,
+    attributes: &'a RequestAttributes,
 }
 
 impl<'a> OpenStream<'a> {
-    fn count(metrics: &'a Metrics, party: &'a RequestParty) -> Self {
+    fn start(metrics: &'a Metrics, attributes: &'a RequestAttributes) -> Self {
         metrics.streams_open.inc();
-        OpenStream { metrics, party }
+        OpenStream { metrics, attributes }
     }
 }
 
@@ -164,15 +168,15 @@
     fn drop(&mut self) {
         self.metrics.streams_open.dec();
         if std::thread::panicking() {
-            record_failure(self.metrics, self.party);
+            record_panic(self.metrics, self.attributes);
         }
     }
 }
 
-fn delivery_form(kind: CompletionKind, checked: &CheckedRequest) -> DeliveryForm {
+fn delivery_options(kind: CompletionKind, checked: &CheckedRequest) -> DeliveryOptions {
     let profile = &checked.request.profile;
-    let created = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs());
-    DeliveryForm {
+    let created = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_secs());
+    DeliveryOptions {
         request: profile.id,
         format: AnswerFormat::new(kind, profile.id, profile.model.as_str(), created),
         prompt_tokens: profile.prompt_tokens,
--- a/crates/node/src/callers/assembly.rs
+++ b/crates/node/src/callers/assembly.rs
@@ -1,24 +1,24 @@
-//! Checks that the pieces of an answer are its own, and that they are all there.
+//! Checks that the pieces of an answer belong to the request, in order and without gaps.
 
 use displaydoc::Display;
 use havengate_core::request::{AnswerPiece, FinishReason, RequestId};
 use havengate_core::verdict::{MayHaveRun, Verdict};
 
-/// Why a piece of an answer is dropped.
+/// Reason for dropping a piece of an answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum PieceFault {
-    /// the piece answers another request
+    /// the piece belongs to another request
     Foreign,
-    /// the piece repeats tokens that the caller has
+    /// the piece repeats tokens that were already accepted
     Repeated,
     /// tokens before the piece are missing
     Gap,
-    /// the answer is at its end
+    /// the answer has already ended
     AfterEnd,
 }
 
 impl PieceFault {
-    /// The stable code for logs and metrics.
+    /// Returns the stable code for logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             PieceFault::Foreign => "foreign",
@@ -29,10 +29,10 @@
     }
 }
 
-/// What the caller has of one answer.
+/// Tracks how much of one answer has been accepted for the caller.
 ///
-/// Invariant: the pieces taken are those of `request`, without repetition or gap, from its first token to
-/// `next_token`; once `finish` is set they are the whole answer.
+/// Invariant: the accepted pieces are those of `request`, without repetition or gap, from its first token to
+/// `next_token`; once `finish` is set they are the complete answer.
 #[derive(Clone, Debug)]
 pub struct AnswerAssembly {
     request: RequestId,
@@ -41,16 +41,16 @@
 }
 
 impl AnswerAssembly {
-    /// Nothing yet of the answer to `request`.
+    /// Creates an empty assembly for the answer to `request`.
     pub fn new(request: RequestId) -> Self {
         AnswerAssembly { request, next_token: 0, finish: None }
     }
 
-    /// Takes the next piece.
+    /// Accepts the next piece.
     ///
     /// # Errors
-    /// When the piece doesn't go on where the answer stands; it must not reach the caller.
-    pub fn take(&mut self, piece: &AnswerPiece) -> Result<(), PieceFault> {
+    /// When the piece does not continue the answer at `next_token`; it must not reach the caller.
+    pub fn accept(&mut self, piece: &AnswerPiece) -> Result<(), PieceFault> {
         if piece.request != self.request {
             return Err(PieceFault::Foreign);
         }
@@ -68,24 +68,24 @@
         Ok(())
     }
 
-    /// Tokens that the caller has.
+    /// Returns the number of accepted tokens.
     pub fn tokens(&self) -> u32 {
         self.next_token
     }
 
-    /// Why the answer is at its end; none while it isn't whole.
+    /// Returns why the answer ended; none while it is incomplete.
     pub fn finish(&self) -> Option<FinishReason> {
         self.finish
     }
 
-    /// The verdict that the caller is told when the request has ended with `verdict`.
+    /// Returns the verdict to report to the caller when the request ended with `verdict`.
     ///
-    /// Only a whole answer is completed, and an answer that has begun can't count as not run.
-    pub fn conclude(&self, verdict: Verdict) -> Verdict {
-        let cut = Verdict::MayHaveRun(MayHaveRun::AnswerCut);
+    /// Only a complete answer is reported as completed, and an answer that has begun is never reported as not run.
+    pub fn final_verdict(&self, verdict: Verdict) -> Verdict {
+        let answer_cut = Verdict::MayHaveRun(MayHaveRun::AnswerCut);
         match verdict {
-            Verdict::Completed if self.finish.is_none() => cut,
-            Verdict::NotRun(_) if self.next_token > 0 => cut,
+            Verdict::Completed if self.finish.is_none() => answer_cut,
+            Verdict::NotRun(_) if self.next_token > 0 => answer_cut,
             verdict => verdict,
         }
     }
--- a/crates/node/src/callers/body.rs
+++ b/crates/node/src/callers/body.rs
@@ -1,8 +1,8 @@
-//! The bodies of completion requests, in OpenAI's form.
+//! Completion request bodies, in OpenAI's format.
 //!
-//! Unknown fields are refused, as OpenAI refuses them: a misspelt limit must not be dropped in silence. Sampling fields
-//! are checked and have no effect, because the engines take none; fields without which the answer would have another
-//! meaning or shape are refused.
+//! Unknown fields are rejected, as by OpenAI, so that a misspelt limit is not silently ignored. Sampling fields are
+//! validated and then ignored, because the engines support none. Fields that would change the meaning or shape of the
+//! answer are rejected.
 
 use serde::Deserialize;
 use serde::de::IgnoredAny;
@@ -10,7 +10,7 @@
 use super::error::CallerError;
 use super::handler::CallerLimits;
 
-/// Which of the two completion calls.
+/// The two completion endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CompletionKind {
     /// `POST /v1/completions`.
@@ -19,7 +19,7 @@
     Chat,
 }
 
-/// A completion request's body, checked.
+/// A validated completion request body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct CompletionBody {
     pub(super) model: String,
@@ -27,11 +27,11 @@
     pub(super) output_tokens_maximum: u32,
     /// Whether the answer is streamed.
     pub(super) stream: bool,
-    /// Whether a stream ends with an event that tells the usage.
+    /// Whether a stream ends with a usage event.
     pub(super) include_usage: bool,
 }
 
-/// Fields that both calls have.
+/// Request body as deserialized, with the fields of both endpoints.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawBody {
@@ -104,11 +104,11 @@
 }
 
 impl CompletionBody {
-    /// Reads and checks a request's body.
+    /// Parses and validates a request body.
     pub(super) fn read(kind: CompletionKind, body: &[u8], limits: &CallerLimits) -> Result<Self, CallerError> {
         let raw: RawBody = serde_json::from_slice(body)
             .map_err(|error| CallerError::invalid(format!("the body is not a valid request: {error}")))?;
-        raw.refuse_unsupported()?;
+        raw.reject_unsupported()?;
         let output_tokens_maximum = raw.output_tokens(limits)?;
         let prompt = prompt(kind, raw.prompt, raw.messages)?;
         Ok(CompletionBody {
@@ -122,7 +122,7 @@
 }
 
 impl RawBody {
-    fn refuse_unsupported(&self) -> Result<(), CallerError> {
+    fn reject_unsupported(&self) -> Result<(), CallerError> {
         let unsupported = [
             ("stop", self.stop.is_some()),
             ("suffix", self.suffix.is_some()),
@@ -135,7 +135,7 @@
             ("n", self.n.is_some_and(|count| count != 1)),
             ("best_of", self.best_of.is_some_and(|count| count != 1)),
         ];
-        match unsupported.into_iter().find(|(_, given)| *given) {
+        match unsupported.into_iter().find(|(_, is_set)| *is_set) {
             Some((field, _)) => Err(CallerError::invalid(format!("field `{field}` is not supported with this value"))),
             None => Ok(()),
         }
@@ -143,8 +143,8 @@
 
     fn output_tokens(&self, limits: &CallerLimits) -> Result<u32, CallerError> {
         let maximum = limits.output_tokens_maximum;
-        let asked = self.max_completion_tokens.or(self.max_tokens);
-        let tokens = asked.unwrap_or(limits.output_tokens_default);
+        let requested = self.max_completion_tokens.or(self.max_tokens);
+        let tokens = requested.unwrap_or(limits.output_tokens_default);
         if tokens == 0 || tokens > maximum {
             return Err(CallerError::invalid(format!("max_tokens is {tokens}; allowed: 1 to {maximum}")));
         }
@@ -160,8 +160,8 @@
     let text = match (kind, prompt, messages) {
         (CompletionKind::Text, Some(RawPrompt::One(text) | RawPrompt::List([text])), None) => text,
         (CompletionKind::Chat, None, Some(messages)) => chat_prompt(messages),
-        (CompletionKind::Text, ..) => return Err(CallerError::invalid("`prompt` is needed, and no `messages`")),
-        (CompletionKind::Chat, ..) => return Err(CallerError::invalid("`messages` is needed, and no `prompt`")),
+        (CompletionKind::Text, ..) => return Err(CallerError::invalid("`prompt` is required, not `messages`")),
+        (CompletionKind::Chat, ..) => return Err(CallerError::invalid("`messages` is required, not `prompt`")),
     };
     if text.trim().is_empty() {
         return Err(CallerError::invalid("the prompt is empty"));
@@ -169,7 +169,7 @@
     Ok(text)
 }
 
-/// The prompt of a chat: a paragraph for each message, `role: content`.
+/// Builds the prompt of a chat: one `role: content` paragraph per message.
 fn chat_prompt(messages: Vec<RawMessage>) -> String {
     let mut prompt = String::new();
     for message in messages {
--- a/crates/node/src/callers/delivery.rs
+++ b/crates/node/src/callers/delivery.rs
@@ -1,4 +1,4 @@
-//! The way of one answer into its HTTP response.
+//! Writes one answer to its HTTP response.
 
 use std::time::{Duration, Instant};
 
@@ -14,45 +14,45 @@
 use crate::http_server::{HeaderMap, HungUp, Response, ResponseSender, StatusCode, StreamWriter};
 use crate::metrics::{CauseLabel, Metrics};
 
-/// How an answer is given.
+/// How an answer is delivered.
 #[derive(Clone, Debug)]
-pub(super) struct DeliveryForm {
+pub(super) struct DeliveryOptions {
     pub(super) request: RequestId,
     pub(super) format: AnswerFormat,
     pub(super) prompt_tokens: u32,
     /// Whether the answer is streamed.
     pub(super) stream: bool,
-    /// Whether a stream ends with an event that tells the usage.
+    /// Whether a stream ends with a usage event.
     pub(super) include_usage: bool,
 }
 
-/// How a delivery ended.
+/// Outcome of a delivery.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct DeliveryEnd {
-    /// What the caller was told.
+pub(super) struct DeliveryOutcome {
+    /// Verdict reported to the caller.
     pub(super) verdict: Verdict,
-    /// Tokens that went to the caller.
+    /// Tokens accepted for the caller.
     pub(super) tokens: u32,
-    /// When the first piece came, since the request's arrival.
+    /// Time from the request's arrival to the first piece.
     pub(super) first_token: Option<Duration>,
     /// Mean time between two tokens after the first piece.
     pub(super) token_interval: Option<Duration>,
-    /// Whether the answer came from a record.
+    /// Whether the answer was replayed from a record.
     pub(super) replayed: bool,
 }
 
-/// Takes an answer's pieces and writes them to the caller.
+/// Receives an answer's pieces and writes them to the caller.
 pub(super) struct Delivery<'a> {
-    form: DeliveryForm,
+    options: DeliveryOptions,
     metrics: &'a Metrics,
     arrival: Instant,
     assembly: AnswerAssembly,
     replayed: bool,
-    /// The text so far of an answer that isn't streamed.
+    /// Text received so far, if the answer is not streamed.
     text: String,
-    /// Present until the response has started.
+    /// Set until the response has started.
     response: Option<ResponseSender>,
-    /// Present once a stream has started.
+    /// Set once a stream has started.
     writer: Option<StreamWriter>,
     first_piece: Option<FirstPiece>,
     latest_piece: Option<Instant>,
@@ -69,7 +69,7 @@
     }
 
     fn piece(&mut self, piece: AnswerPiece) -> Result<(), HungUp> {
-        if let Err(fault) = self.assembly.take(&piece) {
+        if let Err(fault) = self.assembly.accept(&piece) {
             self.drop_piece(&piece, fault);
             return Ok(());
         }
@@ -82,10 +82,15 @@
 }
 
 impl<'a> Delivery<'a> {
-    pub(super) fn new(form: DeliveryForm, response: ResponseSender, metrics: &'a Metrics, arrival: Instant) -> Self {
+    pub(super) fn new(
+        options: DeliveryOptions,
+        response: ResponseSender,
+        metrics: &'a Metrics,
+        arrival: Instant,
+    ) -> Self {
         Delivery {
-            assembly: AnswerAssembly::new(form.request),
-            form,
+            assembly: AnswerAssembly::new(options.request),
+            options,
             metrics,
             arrival,
             replayed: false,
@@ -97,15 +102,15 @@
         }
     }
 
-    /// Ends the response as `verdict`, corrected by what the caller has, says.
-    pub(super) fn end(self, verdict: Verdict) -> DeliveryEnd {
-        let verdict = self.assembly.conclude(verdict);
+    /// Ends the response with `verdict`, corrected by the pieces accepted so far.
+    pub(super) fn end(self, verdict: Verdict) -> DeliveryOutcome {
+        let verdict = self.assembly.final_verdict(verdict);
         let first_token = self.first_piece.as_ref().map(|first| first.at.duration_since(self.arrival));
         let token_interval = self.token_interval();
         let tokens = self.assembly.tokens();
         let replayed = self.replayed;
         let verdict = if verdict == Verdict::Completed { self.complete() } else { self.fail(verdict) };
-        DeliveryEnd { verdict, tokens, first_token, token_interval, replayed }
+        DeliveryOutcome { verdict, tokens, first_token, token_interval, replayed }
     }
 
     fn drop_piece(&self, piece: &AnswerPiece, fault: PieceFault) {
@@ -118,56 +123,57 @@
     }
 
     fn write(&mut self, piece: &AnswerPiece, first: bool) -> Result<(), HungUp> {
-        if self.form.stream {
-            let event = self.form.format.event(&piece.text, piece.finish, first);
+        if self.options.stream {
+            let event = self.options.format.event(&piece.text, piece.finish, first);
             return self.start_stream()?.send(event);
         }
         self.text.push_str(&piece.text);
-        let gone = self.response.as_ref().is_none_or(|response| response.hang_up().is_set());
-        if gone { Err(HungUp) } else { Ok(()) }
+        let caller_gone = self.response.as_ref().is_none_or(|response| response.hang_up().is_set());
+        if caller_gone { Err(HungUp) } else { Ok(()) }
     }
 
-    /// The stream. Its head is written with the first piece, so that a refusal before has a status of its own.
+    /// Returns the stream, starting it if needed. The response head is written only with the first piece, so that an
+    /// earlier refusal can still have its own status.
     fn start_stream(&mut self) -> Result<&StreamWriter, HungUp> {
         if let Some(response) = self.response.take() {
-            let headers = answer_headers("text/event-stream", self.form.request, self.replayed);
+            let headers = answer_headers("text/event-stream", self.options.request, self.replayed);
             self.writer = Some(response.stream(StatusCode::OK, headers));
         }
         self.writer.as_ref().ok_or(HungUp)
     }
 
     fn complete(mut self) -> Verdict {
-        let completed = if self.form.stream { self.finish_stream() } else { self.send_whole() };
+        let completed = if self.options.stream { self.finish_stream() } else { self.send_complete() };
         completed.map_or(Verdict::MayHaveRun(MayHaveRun::CallerGone), |()| Verdict::Completed)
     }
 
     fn finish_stream(&mut self) -> Result<(), HungUp> {
         let writer = self.writer.take().ok_or(HungUp)?;
-        if self.form.include_usage {
-            writer.send(self.form.format.usage_event(self.usage()))?;
+        if self.options.include_usage {
+            writer.send(self.options.format.usage_event(self.usage()))?;
         }
         writer.send(DONE_EVENT.to_vec())?;
         writer.finish()
     }
 
-    fn send_whole(&mut self) -> Result<(), HungUp> {
+    fn send_complete(&mut self) -> Result<(), HungUp> {
         let response = self.response.take().ok_or(HungUp)?;
-        let mut headers = answer_headers("application/json", self.form.request, self.replayed);
+        let mut headers = answer_headers("application/json", self.options.request, self.replayed);
         headers::insert(&mut headers, VERDICT, Verdict::Completed.code());
-        let body = self.form.format.whole(&self.text, self.assembly.finish(), self.usage());
-        let gone = response.hang_up().is_set();
+        let body = self.options.format.complete_body(&self.text, self.assembly.finish(), self.usage());
+        let caller_gone = response.hang_up().is_set();
         response.send(Response { status: StatusCode::OK, headers, body });
-        if gone { Err(HungUp) } else { Ok(()) }
+        if caller_gone { Err(HungUp) } else { Ok(()) }
     }
 
-    /// Tells the caller how the request failed: by a response of its own, or, once a stream has started, by an event
-    /// after which the body stays unterminated.
+    /// Reports the failure to the caller: by an error response, or, once a stream has started, by an error event after
+    /// which the body is left unterminated.
     fn fail(mut self, verdict: Verdict) -> Verdict {
         let error = CallerError::from_verdict(&verdict);
         if let Some(response) = self.response.take() {
-            response.send(error.response(Some(self.form.request), self.replayed));
+            response.send(error.response(Some(self.options.request), self.replayed));
         } else if let Some(writer) = self.writer.take() {
-            // A caller that is gone needs no error.
+            // The send fails only if the caller has disconnected.
             let _ = writer.send(error.event());
             writer.abort();
         }
@@ -175,7 +181,7 @@
     }
 
     fn usage(&self) -> Usage {
-        Usage::new(self.form.prompt_tokens, self.assembly.tokens())
+        Usage::new(self.options.prompt_tokens, self.assembly.tokens())
     }
 
     fn token_interval(&self) -> Option<Duration> {
--- a/crates/node/src/callers/directory.rs
+++ b/crates/node/src/callers/directory.rs
@@ -1,4 +1,4 @@
-//! What the callers' API looks up for each request.
+//! Models, tenants and contracts that the callers' API looks up for each request.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 }
 
 impl CallerDirectory {
-    /// The directory of `configuration`.
+    /// Builds the directory of `configuration`.
     pub fn new(configuration: &Configuration) -> Self {
         let models = configuration.models.iter().map(|model| (model.name.clone(), model.clone()));
         let tenants = configuration.tenants.iter().map(|tenant| (tenant.api_key.clone(), tenant.clone()));
@@ -22,22 +22,22 @@
         CallerDirectory { models: models.collect(), tenants_by_key: tenants.collect(), contracts: contracts.collect() }
     }
 
-    /// The models, in the order of their names.
+    /// Returns the models, ordered by name.
     pub fn models(&self) -> impl Iterator<Item = &Model> {
         self.models.values()
     }
 
-    /// The model called `name`.
+    /// Returns the model named `name`.
     pub fn model(&self, name: &ModelName) -> Option<&Model> {
         self.models.get(name)
     }
 
-    /// The tenant whose callers present the bearer key `key`.
+    /// Returns the tenant whose API key is `key`.
     pub fn tenant_by_key(&self, key: &str) -> Option<&Tenant> {
         self.tenants_by_key.get(key)
     }
 
-    /// The contract called `name`.
+    /// Returns the contract named `name`.
     pub fn contract(&self, name: &ContractName) -> Option<&Contract> {
         self.contracts.get(name)
     }
--- a/crates/node/src/callers/error.rs
+++ b/crates/node/src/callers/error.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers see them: a status, a stable code, and whether the request may have run.
+//! Error responses to callers: a status, a stable code, and whether the request may have run.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use super::headers::{self, REPLAYED, RETRY_AFTER, SHOULD_RETRY, VERDICT};
 use crate::http_server::{Response, ServerRefusal, StatusCode};
 
-/// When to come back after a refusal that names no time of its own.
+/// Retry delay for refusals that give no delay themselves.
 const RETRY_AFTER_DEFAULT: Duration = Duration::from_secs(1);
 
-/// A refusal, or an answer that was cut.
+/// A refusal, or an interrupted answer.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct CallerError {
     pub(super) status: StatusCode,
@@ -36,14 +36,14 @@
 }
 
 impl CallerError {
-    /// The request itself is wrong. It has not run.
+    /// Error for an invalid request, which has not run.
     pub(super) fn invalid(message: impl Into<String>) -> Self {
         let mut error = CallerError::not_run(NotRun::new(NotRunReason::InvalidRequest));
         error.message = message.into();
         error
     }
 
-    /// No such path or method. Nothing has run.
+    /// Error for an unknown path or method. Nothing has run.
     pub(super) fn routing(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         CallerError { status, code, ..CallerError::invalid(message) }
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What a caller is told when its request has ended with `verdict`, which isn't completed.
+    /// Error for a request that ended with `verdict`, which must not be `Completed`.
     pub(super) fn from_verdict(verdict: &Verdict) -> Self {
         match verdict {
             Verdict::NotRun(refusal) => CallerError::not_run(refusal.clone()),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The request did not reach the API's handler, or the handler failed.
+    /// Error for a request that did not reach the API's handler, or whose handler failed.
     pub(super) fn server(refusal: ServerRefusal) -> Self {
         let verdict = match refusal {
             ServerRefusal::HandlerFailed => Verdict::MayHaveRun(MayHaveRun::AnswerCut),
@@ -87,7 +87,7 @@
         CallerError { status: refusal.status(), code: refusal.code(), message: refusal.to_string(), verdict }
     }
 
-    /// The refusal as a whole response.
+    /// Returns the error as a complete response.
     pub(super) fn response(&self, request: Option<RequestId>, replayed: bool) -> Response {
         let mut response = Response::json(self.status, &self.body());
         headers::insert(&mut response.headers, VERDICT, self.verdict.code());
@@ -97,8 +97,8 @@
         if replayed {
             headers::insert(&mut response.headers, REPLAYED, "true");
         }
-        if let Some(wait) = self.retry_after() {
-            let seconds = wait.as_millis().div_ceil(1_000).max(1).to_string();
+        if let Some(delay) = self.retry_after() {
+            let seconds = delay.as_millis().div_ceil(1_000).max(1).to_string();
             headers::insert(&mut response.headers, RETRY_AFTER, &seconds);
         }
         if matches!(self.verdict, Verdict::MayHaveRun(_)) {
@@ -107,7 +107,7 @@
         response
     }
 
-    /// The error as the last event of a stream.
+    /// Returns the error as the last event of a stream.
     pub(super) fn event(&self) -> Vec<u8> {
         let body = serde_json::to_string(&self.body()).unwrap_or_default();
         format!("event: error\ndata: {body}\n\n").into_bytes()
@@ -124,18 +124,18 @@
         }
     }
 
-    /// When to come back; none when the same request would be refused again.
+    /// Returns the delay before a retry; none if the same request would be refused again.
     fn retry_after(&self) -> Option<Duration> {
         let Verdict::NotRun(refusal) = &self.verdict else { return None };
-        let later = matches!(
+        let temporary = matches!(
             refusal.reason,
             NotRunReason::TenantLimit
                 | NotRunReason::KeyInProgress
                 | NotRunReason::KeyUnclaimable
                 | NotRunReason::DeadlineUnreachable
         );
-        let helps = later || refusal.reason.worth_another_try();
-        refusal.retry_after.or(helps.then_some(RETRY_AFTER_DEFAULT))
+        let retryable = temporary || refusal.reason.worth_another_try();
+        refusal.retry_after.or(retryable.then_some(RETRY_AFTER_DEFAULT))
     }
 }
 
@@ -176,7 +176,7 @@
     }
 }
 
-/// The word that OpenAI's clients expect in `error.type`.
+/// Returns the `error.type` value that OpenAI clients expect.
 fn error_type(status: StatusCode) -> &'static str {
     match status {
         StatusCode::UNAUTHORIZED => "authentication_error",
--- a/crates/node/src/callers/format.rs
+++ b/crates/node/src/callers/format.rs
@@ -1,24 +1,24 @@
-//! Answers in OpenAI's form.
+//! Answers in OpenAI's format.
 
 use havengate_core::request::{FinishReason, RequestId};
 use serde::Serialize;
 
 use super::body::CompletionKind;
 
-/// The end of a stream whose answer is whole.
+/// Last event of a stream whose answer is complete.
 pub(super) const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// What all bodies and events of one answer have in common.
+/// Fields shared by all bodies and events of one answer.
 #[derive(Clone, Debug)]
 pub(super) struct AnswerFormat {
     kind: CompletionKind,
     id: String,
     model: String,
-    /// Seconds since 1970.
+    /// Unix time, in seconds.
     created: u64,
 }
 
-/// Tokens of a prompt, as estimated, and of its answer.
+/// Estimated tokens of a prompt, and tokens of its answer.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Usage {
     prompt_tokens: u32,
@@ -72,8 +72,8 @@
         AnswerFormat { kind, id: format!("{prefix}-{request}"), model: model.to_owned(), created }
     }
 
-    /// The body of a whole answer.
-    pub(super) fn whole(&self, text: &str, finish: Option<FinishReason>, usage: Usage) -> Vec<u8> {
+    /// Body of an answer that is not streamed.
+    pub(super) fn complete_body(&self, text: &str, finish: Option<FinishReason>, usage: Usage) -> Vec<u8> {
         let message = Message { role: Some("assistant"), content: text };
         let (object, choice) = match self.kind {
             CompletionKind::Text => ("text_completion", Choice { text: Some(text), ..Choice::new(finish) }),
@@ -82,19 +82,19 @@
         self.json(object, &[choice], Some(usage))
     }
 
-    /// The event for one piece of a streamed answer.
+    /// Event for one piece of a streamed answer.
     pub(super) fn event(&self, text: &str, finish: Option<FinishReason>, first: bool) -> Vec<u8> {
         let delta = Message { role: first.then_some("assistant"), content: text };
         let choice = match self.kind {
             CompletionKind::Text => Choice { text: Some(text), ..Choice::new(finish) },
             CompletionKind::Chat => Choice { delta: Some(delta), ..Choice::new(finish) },
         };
-        event(&self.json(self.event_object(), &[choice], None))
+        server_sent_event(&self.json(self.event_object(), &[choice], None))
     }
 
-    /// The event that tells the usage, after the answer.
+    /// Usage event, sent after the answer.
     pub(super) fn usage_event(&self, usage: Usage) -> Vec<u8> {
-        event(&self.json(self.event_object(), &[], Some(usage)))
+        server_sent_event(&self.json(self.event_object(), &[], Some(usage)))
     }
 
     fn event_object(&self) -> &'static str {
@@ -116,7 +116,7 @@
     }
 }
 
-fn event(json: &[u8]) -> Vec<u8> {
+fn server_sent_event(json: &[u8]) -> Vec<u8> {
     [b"data: ", json, b"\n\n"].concat()
 }
 
--- a/crates/node/src/callers/handler.rs
+++ b/crates/node/src/callers/handler.rs
@@ -1,4 +1,4 @@
-//! The seam between the callers' API and the rest of the node.
+//! Interface between the callers' API and the rest of the node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,48 +11,48 @@
 use super::directory::CallerDirectory;
 use crate::http_server::{HangUp, HungUp};
 
-/// A caller's request, checked.
+/// A validated caller request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRequest {
-    /// What dispatch needs to know.
+    /// Attributes used for dispatch.
     pub profile: RequestProfile,
-    /// The whole prompt.
+    /// The full prompt.
     pub prompt: String,
 }
 
-/// Takes the pieces of one answer on their way to the caller.
+/// Receives the pieces of one answer and passes them to the caller.
 pub trait AnswerSink {
-    /// Says that the answer comes from the record of an earlier request with the same idempotency key. Only before the
+    /// Marks the answer as replayed from an earlier request with the same idempotency key. Must be called before the
     /// first piece.
     fn replayed(&mut self);
 
-    /// Passes one piece on; waits while the caller reads too slowly.
+    /// Passes one piece to the caller; blocks while the caller reads too slowly.
     ///
-    /// A piece of another request, or one that repeats or skips tokens, is dropped and counted here; it is no error,
-    /// and the answer then ends as cut unless the missing piece comes after all.
+    /// A piece that belongs to another request, or that repeats or skips tokens, is dropped and counted without an
+    /// error. The answer is then reported as cut unless the missing piece still arrives.
     ///
     /// # Errors
-    /// When the caller has hung up.
+    /// When the caller has disconnected.
     fn piece(&mut self, piece: AnswerPiece) -> Result<(), HungUp>;
 }
 
 /// Runs callers' requests.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Runs a request to its end, on a thread of its own, and returns how it ended.
+    /// Runs a request to its end on the calling thread, which serves only this request, and returns the outcome.
     ///
-    /// Pieces go to `answer` as they come. `hang_up` is set as soon as the caller is gone; [`HangUp::over`] can be
-    /// waited for next to other channels. [`Verdict::Completed`] reaches the caller as such only if `answer` has taken
-    /// every piece up to the last one.
+    /// Pieces are passed to `answer` as they arrive. `hang_up` is set as soon as the caller disconnects;
+    /// [`HangUp::over`] returns a channel that can be selected on with others. [`Verdict::Completed`] is reported to
+    /// the caller only if `answer` has accepted every piece up to the last one.
     fn submit(&self, request: CallerRequest, answer: &mut dyn AnswerSink, hang_up: &HangUp) -> Verdict;
 
-    /// The models, tenants and contracts of the configuration in force.
+    /// Returns the models, tenants and contracts of the configuration in force.
     fn directory(&self) -> Arc<CallerDirectory>;
 
-    /// Whether the node takes requests.
+    /// Returns whether the node accepts requests.
     fn readiness(&self) -> Readiness;
 }
 
-/// Whether a node takes requests, and if not, why.
+/// Whether a node accepts requests, and if not, why.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Readiness {
@@ -66,16 +66,17 @@
     Leaving,
 }
 
-/// Limits on what callers may ask for.
+/// Limits and defaults for caller requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Output tokens of a request that names no maximum.
+    /// Output token limit of a request that sets none.
     pub output_tokens_default: u32,
-    /// The most output tokens that a request may ask for: they are reserved in an engine's KV cache.
+    /// Highest output token limit that a request may set. Bounded because output tokens are reserved in an engine's KV
+    /// cache.
     pub output_tokens_maximum: u32,
-    /// The time for a whole answer when the caller names none.
+    /// Deadline for the complete answer of a request that sets none.
     pub deadline_default: Duration,
-    /// The longest deadline that a caller may name; it bounds how long a planned stop takes.
+    /// Longest deadline that a request may set; it bounds the duration of a planned shutdown.
     pub deadline_maximum: Duration,
 }
 
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -3,11 +3,11 @@
 //! | call | answer |
 //! |---|---|
 //! | `GET /v1/models` | the models |
-//! | `POST /v1/completions` | a completion of `prompt`, whole or (`stream: true`) as server-sent events |
+//! | `POST /v1/completions` | a completion of `prompt`, as one body or (`stream: true`) as server-sent events |
 //! | `POST /v1/chat/completions` | the same for `messages` |
 //!
-//! A refusal is a JSON error with a stable code; the body and the header `X-Havengate-Verdict` tell whether the request
-//! may have run. A stream that is cut ends with an `error` event and an unterminated body, never with `[DONE]`.
+//! A refusal is a JSON error with a stable code; the body and the header `X-Havengate-Verdict` state whether the request
+//! may have run. An interrupted stream ends with an `error` event and an unterminated body, never with `[DONE]`.
 
 mod api;
 mod assembly;
--- a/crates/node/src/callers/record.rs
+++ b/crates/node/src/callers/record.rs
@@ -1,25 +1,25 @@
-//! What a request leaves behind in metrics and in the log.
+//! Records finished requests in metrics and in the log.
 
 use havengate_core::request::RequestProfile;
 use havengate_core::verdict::{MayHaveRun, Verdict};
 use havengate_core::world::{ContractName, ModelName, TenantName};
 
-use super::delivery::DeliveryEnd;
+use super::delivery::DeliveryOutcome;
 use super::error::CallerError;
 use crate::metrics::{ContractLabel, Metrics, RequestLabels, TokenLabels};
 
-/// Whose request it is and what for.
+/// Attributes of a request that metrics and log lines carry.
 #[derive(Clone, Debug)]
-pub(super) struct RequestParty {
+pub(super) struct RequestAttributes {
     tenant: TenantName,
     contract: ContractName,
     model: ModelName,
     prompt_tokens: u32,
 }
 
-impl RequestParty {
-    pub(super) fn of(profile: &RequestProfile) -> Self {
-        RequestParty {
+impl RequestAttributes {
+    pub(super) fn from_profile(profile: &RequestProfile) -> Self {
+        RequestAttributes {
             tenant: profile.tenant.clone(),
             contract: profile.contract.clone(),
             model: profile.model.clone(),
@@ -43,37 +43,37 @@
     }
 }
 
-/// Records the end of a request that was submitted.
-pub(super) fn record_end(metrics: &Metrics, party: &RequestParty, end: &DeliveryEnd) {
-    let reason = reason_code(&end.verdict);
-    metrics.requests.get_or_create(&party.labels(&end.verdict)).inc();
-    party.count_tokens(metrics, "prompt", party.prompt_tokens);
-    party.count_tokens(metrics, "output", end.tokens);
-    if end.replayed {
+/// Records the outcome of a submitted request.
+pub(super) fn record_outcome(metrics: &Metrics, attributes: &RequestAttributes, outcome: &DeliveryOutcome) {
+    let reason = reason_code(&outcome.verdict);
+    metrics.requests.get_or_create(&attributes.labels(&outcome.verdict)).inc();
+    attributes.count_tokens(metrics, "prompt", attributes.prompt_tokens);
+    attributes.count_tokens(metrics, "output", outcome.tokens);
+    if outcome.replayed {
         metrics.replays.inc();
     }
-    let contract = ContractLabel { contract: party.contract.to_string() };
-    if let Some(wait) = end.first_token {
-        metrics.time_to_first_token.get_or_create(&contract).observe(wait.as_secs_f64());
+    let contract = ContractLabel { contract: attributes.contract.to_string() };
+    if let Some(latency) = outcome.first_token {
+        metrics.time_to_first_token.get_or_create(&contract).observe(latency.as_secs_f64());
     }
-    if let Some(interval) = end.token_interval {
+    if let Some(interval) = outcome.token_interval {
         metrics.token_interval.get_or_create(&contract).observe(interval.as_secs_f64());
     }
     log::info!(
-        tenant:% = party.tenant, contract:% = party.contract, model:% = party.model, verdict = end.verdict.code(),
-        reason, prompt_tokens = party.prompt_tokens, tokens = end.tokens, replayed = end.replayed;
+        tenant:% = attributes.tenant, contract:% = attributes.contract, model:% = attributes.model, verdict = outcome.verdict.code(),
+        reason, prompt_tokens = attributes.prompt_tokens, tokens = outcome.tokens, replayed = outcome.replayed;
         "request_ended"
     );
 }
 
-/// Records a request whose handler panicked: it may have run, and its answer is lost.
-pub(super) fn record_failure(metrics: &Metrics, party: &RequestParty) {
+/// Records a request whose handler panicked. The request may have run and its answer is lost.
+pub(super) fn record_panic(metrics: &Metrics, attributes: &RequestAttributes) {
     let verdict = Verdict::MayHaveRun(MayHaveRun::AnswerCut);
-    metrics.requests.get_or_create(&party.labels(&verdict)).inc();
-    log::error!(tenant:% = party.tenant, model:% = party.model, verdict = verdict.code(); "request_handler_panicked");
+    metrics.requests.get_or_create(&attributes.labels(&verdict)).inc();
+    log::error!(tenant:% = attributes.tenant, model:% = attributes.model, verdict = verdict.code(); "request_handler_panicked");
 }
 
-/// Records a request that was refused before it was submitted.
+/// Records a request that was refused before submission.
 pub(super) fn record_refusal(metrics: &Metrics, tenant: Option<&TenantName>, error: &CallerError) {
     let tenant = tenant.map(TenantName::to_string).unwrap_or_default();
     let (verdict, reason) = (error.verdict.code(), reason_code(&error.verdict));
@@ -82,7 +82,7 @@
     metrics.requests.get_or_create(&labels).inc();
 }
 
-/// The stable code of a verdict's reason; empty for a completed request.
+/// Returns the stable code of a verdict's reason; empty for a completed request.
 fn reason_code(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Completed => "",
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' API: answers, refusals and cuts as callers see them.
+//! Tests of the callers' API: answers, refusals and interrupted streams.
 
 mod callers_support;
 mod http_server_support;
@@ -16,8 +16,8 @@
 use http_server_support::{PATIENCE, RawClient, RawResponse};
 use serde_json::json;
 
-const WHOLE: &str = r#"{"model": "lekh-model", "prompt": "check the manuscript"}"#;
-const STREAM: &str = r#"{"model": "lekh-model", "prompt": "check the manuscript", "stream": true,
+const NON_STREAMING: &str = r#"{"model": "lekh-model", "prompt": "check the manuscript"}"#;
+const STREAMING: &str = r#"{"model": "lekh-model", "prompt": "check the manuscript", "stream": true,
     "stream_options": {"include_usage": true}}"#;
 const CHAT: &str = r#"{"model": "lekh-model", "messages": [{"role": "system", "content": "Be brief."},
     {"role": "user", "content": [{"type": "text", "text": "check the manuscript"}]}]"#;
@@ -26,17 +26,17 @@
     callers.client().post("/v1/completions", &format!("{KEY}{headers}"), body)
 }
 
-/// The JSON of each event of a stream, and the events that aren't JSON as they are.
+/// Parses each event of a stream as JSON; events that aren't JSON are returned as strings.
 fn events(body: &str) -> Vec<serde_json::Value> {
     let data = body.split("\n\n").filter_map(|event| event.split("data: ").nth(1));
     data.map(|data| serde_json::from_str(data).unwrap_or(serde_json::Value::from(data))).collect()
 }
 
-/// The request that the handler gets for `headers` and `body`.
-fn submitted(headers: &str, body: &str) -> CallerRequest {
+/// Returns the request that the handler receives for `headers` and `body`.
+fn submitted_request(headers: &str, body: &str) -> CallerRequest {
     let (sender, receiver) = unbounded();
     let callers = Callers::new(move |request, answer, hang_up| {
-        sender.send(request.clone()).expect("test is there");
+        sender.send(request.clone()).expect("test is receiving");
         approve(request, answer, hang_up)
     });
     let response = post(&callers, headers, body);
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn a_whole_answer() {
+fn a_non_streamed_answer_has_text_verdict_and_usage() {
     let callers = Callers::new(approve);
-    let response = post(&callers, "", WHOLE);
+    let response = post(&callers, "", NON_STREAMING);
     assert_eq!(response.status, 200);
     assert_eq!(response.header("x-havengate-verdict"), Some("completed"));
     assert_eq!(response.header("x-request-id").map(str::len), Some(32));
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn a_whole_chat_answer_and_a_streamed_one() {
+fn chat_answers_with_and_without_streaming() {
     let callers = Callers::new(approve);
-    let whole = callers.client().post("/v1/chat/completions", KEY, &format!("{CHAT}}}")).json();
-    assert_eq!(whole["object"], "chat.completion");
-    assert_eq!(whole["choices"][0]["message"]["role"], "assistant");
-    assert_eq!(whole["choices"][0]["message"]["content"], "proof approved");
+    let complete = callers.client().post("/v1/chat/completions", KEY, &format!("{CHAT}}}")).json();
+    assert_eq!(complete["object"], "chat.completion");
+    assert_eq!(complete["choices"][0]["message"]["role"], "assistant");
+    assert_eq!(complete["choices"][0]["message"]["content"], "proof approved");
     let streamed = callers.client().post("/v1/chat/completions", KEY, &format!("{CHAT}, \"stream\": true}}"));
     let events = events(&streamed.body);
     assert_eq!(events[0]["object"], "chat.completion.chunk");
@@ -78,20 +78,20 @@
 
 #[test]
 fn the_first_event_reaches_the_caller_before_the_second_is_produced() {
-    let (seen, wait_until_seen) = bounded(0);
+    let (first_event_seen, wait_until_seen) = bounded(0);
     let callers = Callers::new(move |request, answer, _| {
         let id = request.profile.id;
-        answer.piece(piece(id, 0, "first", None)).expect("caller is there");
+        answer.piece(piece(id, 0, "first", None)).expect("caller is connected");
         wait_until_seen.recv_timeout(PATIENCE).expect("the caller has the first event");
-        answer.piece(piece(id, 1, " second", Some(FinishReason::Length))).expect("caller is there");
+        answer.piece(piece(id, 1, " second", Some(FinishReason::Length))).expect("caller is connected");
         Verdict::Completed
     });
     let mut client = callers.client();
-    client.send_post("/v1/completions", KEY, STREAM);
+    client.send_post("/v1/completions", KEY, STREAMING);
     assert_eq!(client.head().0, 200);
     let first = client.chunk().expect("a chunk");
     assert_eq!(events(&first)[0]["choices"][0]["text"], "first");
-    seen.send_timeout((), PATIENCE).expect("the handler waits");
+    first_event_seen.send_timeout((), PATIENCE).expect("the handler waits");
     let rest: Vec<String> = std::iter::from_fn(|| client.chunk().filter(|chunk| !chunk.is_empty())).collect();
     let rest = events(&rest.concat());
     assert_eq!(rest[0]["choices"][0]["finish_reason"], "length");
@@ -100,12 +100,12 @@
 }
 
 #[test]
-fn a_stream_that_is_cut_ends_with_its_verdict_and_stays_unterminated() {
+fn an_interrupted_stream_ends_with_its_verdict_and_is_unterminated() {
     let callers = Callers::new(|request, answer, _| {
-        answer.piece(piece(request.profile.id, 0, "half an", None)).expect("caller is there");
+        answer.piece(piece(request.profile.id, 0, "half an", None)).expect("caller is connected");
         Verdict::MayHaveRun(MayHaveRun::EngineFailed)
     });
-    let response = post(&callers, "", STREAM);
+    let response = post(&callers, "", STREAMING);
     assert_eq!(response.status, 200);
     assert!(!response.whole, "the body must stay unterminated");
     assert!(!response.body.contains("[DONE]"));
@@ -115,12 +115,12 @@
 }
 
 #[test]
-fn an_answer_that_stops_short_is_no_whole_answer() {
+fn an_incomplete_answer_is_reported_as_cut() {
     let callers = Callers::new(|request, answer, _| {
         let _ = answer.piece(piece(request.profile.id, 0, "half an", None));
         Verdict::Completed
     });
-    let response = post(&callers, "", WHOLE);
+    let response = post(&callers, "", NON_STREAMING);
     assert_eq!(response.status, 502);
     assert_eq!(response.json()["error"]["code"], "answer_cut");
     assert_eq!(response.header("x-havengate-verdict"), Some("may_have_run"));
@@ -140,35 +140,35 @@
             piece(id, 2, " answer", Some(FinishReason::Stop)),
             piece(id, 3, " and more", None),
         ];
-        pieces.into_iter().for_each(|piece| answer.piece(piece).expect("caller is there"));
+        pieces.into_iter().for_each(|piece| answer.piece(piece).expect("caller is connected"));
         Verdict::Completed
     });
-    assert_eq!(post(&callers, "", WHOLE).json()["choices"][0]["text"], "the right answer");
+    assert_eq!(post(&callers, "", NON_STREAMING).json()["choices"][0]["text"], "the right answer");
     for cause in ["foreign", "repeated", "gap", "after_end"] {
         callers.assert_metric(&format!("havengate_pieces_dropped_total{{cause=\"{cause}\"}} 1"));
     }
 }
 
 #[test]
-fn an_answer_with_a_gap_is_cut() {
+fn an_answer_with_a_gap_is_reported_as_cut() {
     let callers = Callers::new(|request, answer, _| {
         let id = request.profile.id;
-        answer.piece(piece(id, 0, "one", None)).expect("caller is there");
-        answer.piece(piece(id, 2, " three", Some(FinishReason::Stop))).expect("caller is there");
+        answer.piece(piece(id, 0, "one", None)).expect("caller is connected");
+        answer.piece(piece(id, 2, " three", Some(FinishReason::Stop))).expect("caller is connected");
         Verdict::Completed
     });
-    let response = post(&callers, "", STREAM);
+    let response = post(&callers, "", STREAMING);
     assert!(!response.whole && !response.body.contains("three") && !response.body.contains("[DONE]"));
 }
 
 #[test]
-fn each_refusal_has_its_status_code_verdict_and_advice() {
-    let later = Duration::from_millis(2_500);
+fn each_refusal_has_its_status_code_verdict_and_retry_delay() {
+    let retry_delay = Duration::from_millis(2_500);
     let not_run = |reason| Verdict::NotRun(NotRun::new(reason));
     let may_have_run = Verdict::MayHaveRun;
     let cases = [
         (not_run(NotRunReason::TenantLimit), 429, "tenant_limit", Some("1")),
-        (Verdict::NotRun(NotRun::retry_after(NotRunReason::QueueFull, later)), 503, "queue_full", Some("3")),
+        (Verdict::NotRun(NotRun::retry_after(NotRunReason::QueueFull, retry_delay)), 503, "queue_full", Some("3")),
         (not_run(NotRunReason::NoEngine), 503, "no_engine", Some("1")),
         (not_run(NotRunReason::DeadlineUnreachable), 503, "deadline_unreachable", Some("1")),
         (not_run(NotRunReason::DeadlinePassed), 504, "deadline_passed", None),
@@ -179,16 +179,16 @@
         (may_have_run(MayHaveRun::DispatcherLost), 502, "dispatcher_lost", None),
     ];
     for (verdict, status, code, retry_after) in cases {
-        let word = verdict.code();
+        let verdict_code = verdict.code();
         let callers = Callers::new(move |_, _, _| verdict.clone());
-        for body in [WHOLE, STREAM] {
+        for body in [NON_STREAMING, STREAMING] {
             let response = post(&callers, "", body);
             assert_eq!((response.status, response.header("retry-after")), (status, retry_after), "{code}");
-            assert_eq!(response.header("x-havengate-verdict"), Some(word), "{code}");
-            assert_eq!(response.json()["error"]["verdict"], word, "{code}");
+            assert_eq!(response.header("x-havengate-verdict"), Some(verdict_code), "{code}");
+            assert_eq!(response.json()["error"]["verdict"], verdict_code, "{code}");
             assert_eq!(response.json()["error"]["code"], code);
         }
-        callers.assert_metric(&format!("verdict=\"{word}\",reason=\"{code}\"}} 2"));
+        callers.assert_metric(&format!("verdict=\"{verdict_code}\",reason=\"{code}\"}} 2"));
     }
 }
 
@@ -198,49 +198,51 @@
         let _ = answer.piece(piece(request.profile.id, 0, "begun", None));
         Verdict::NotRun(NotRun::new(NotRunReason::Revoked))
     });
-    assert_eq!(post(&callers, "", WHOLE).header("x-havengate-verdict"), Some("may_have_run"));
+    assert_eq!(post(&callers, "", NON_STREAMING).header("x-havengate-verdict"), Some("may_have_run"));
 }
 
 #[test]
-fn a_replayed_answer_says_so() {
+fn a_replayed_answer_has_the_replayed_header() {
     let callers = Callers::new(|request, answer, hang_up| {
         answer.replayed();
         approve(request, answer, hang_up)
     });
-    for body in [WHOLE, STREAM] {
+    for body in [NON_STREAMING, STREAMING] {
         let response = post(&callers, "idempotency-key: ticket 17\r\n", body);
         assert_eq!((response.status, response.header("x-havengate-replayed")), (200, Some("true")));
     }
-    assert_eq!(post(&Callers::new(approve), "", WHOLE).header("x-havengate-replayed"), None);
+    assert_eq!(post(&Callers::new(approve), "", NON_STREAMING).header("x-havengate-replayed"), None);
 }
 
 #[test]
-fn headers_and_body_become_the_profile() {
-    let plain = submitted("", WHOLE).profile;
+fn headers_and_body_set_the_request_profile() {
+    let plain = submitted_request("", NON_STREAMING).profile;
     assert_eq!((plain.tenant.as_str(), plain.contract.as_str()), ("press", "verdict"));
     assert_eq!((plain.prompt_tokens, plain.priority, plain.key), (3, 7, None));
     assert_eq!(plain.time_left, Duration::from_secs(60));
     let headers = "idempotency-key: ticket 17\r\nx-request-deadline: 1500ms\r\nx-request-priority: 3\r\n";
-    let asked = submitted(headers, r#"{"model": "lekh-model", "prompt": ["x"], "max_tokens": 9, "temperature": 0.5}"#);
-    let key = asked.profile.key.expect("a key");
+    let customized =
+        submitted_request(headers, r#"{"model": "lekh-model", "prompt": ["x"], "max_tokens": 9, "temperature": 0.5}"#);
+    let key = customized.profile.key.expect("a key");
     assert_eq!((key.tenant.as_str(), key.key.as_str()), ("press", "ticket 17"));
-    assert_eq!((asked.profile.max_output_tokens, asked.profile.priority), (9, 3));
-    assert_eq!(asked.profile.time_left, Duration::from_millis(1_500));
-    let contract = submitted("x-request-contract: ticket\r\nx-request-priority: 200\r\n", WHOLE).profile;
+    assert_eq!((customized.profile.max_output_tokens, customized.profile.priority), (9, 3));
+    assert_eq!(customized.profile.time_left, Duration::from_millis(1_500));
+    let contract =
+        submitted_request("x-request-contract: ticket\r\nx-request-priority: 200\r\n", NON_STREAMING).profile;
     assert_eq!((contract.contract.as_str(), contract.priority), ("ticket", 0), "a caller can't raise its priority");
 }
 
 #[test]
-fn another_contract_must_not_rank_above_the_tenants_own() {
-    let same = submitted("x-request-contract: proof\r\n", WHOLE).profile;
+fn a_requested_contract_must_not_exceed_the_tenants_priority() {
+    let same = submitted_request("x-request-contract: proof\r\n", NON_STREAMING).profile;
     assert_eq!((same.contract.as_str(), same.priority), ("proof", 7));
-    let own = submitted("x-request-contract: verdict\r\n", WHOLE).profile;
+    let own = submitted_request("x-request-contract: verdict\r\n", NON_STREAMING).profile;
     assert_eq!((own.contract.as_str(), own.priority), ("verdict", 7));
 
     let callers = Callers::new(|_, _, _| panic!("a refused request is not submitted"));
     for lowered in ["", "x-request-priority: 0\r\n"] {
         let headers = format!("{KEY}x-request-contract: release-night\r\n{lowered}");
-        let refused = callers.client().post("/v1/completions", &headers, WHOLE);
+        let refused = callers.client().post("/v1/completions", &headers, NON_STREAMING);
         let error = &refused.json()["error"];
         assert_eq!(
             (refused.status, &error["code"], &error["verdict"]),
@@ -252,13 +254,13 @@
 }
 
 #[test]
-fn requests_have_identities_of_their_own() {
+fn each_request_has_a_unique_id() {
     let callers = Callers::new(approve);
     let mut client = callers.client();
     let mut ids: Vec<String> = (0..20)
         .map(|_| {
-            let response = client.post("/v1/completions", KEY, WHOLE);
-            response.header("x-request-id").expect("an identity").to_owned()
+            let response = client.post("/v1/completions", KEY, NON_STREAMING);
+            response.header("x-request-id").expect("a request ID").to_owned()
         })
         .collect();
     ids.sort();
@@ -283,7 +285,7 @@
         (Readiness::Starting, "node_suspended"),
     ] {
         let callers = Callers::with(readiness, HttpServerConfig::default(), |_, _, _| panic!("must not be submitted"));
-        let response = post(&callers, "", WHOLE);
+        let response = post(&callers, "", NON_STREAMING);
         assert_eq!((response.status, response.header("retry-after")), (503, Some("1")));
         assert_eq!(response.header("x-havengate-verdict"), Some("not_run"));
         assert_eq!(response.json()["error"]["code"], code);
@@ -291,19 +293,19 @@
 }
 
 #[test]
-fn a_node_that_is_not_ready_calls_no_key_unknown() {
+fn a_node_that_is_not_ready_does_not_report_unknown_keys() {
     let callers =
         Callers::with(Readiness::Starting, HttpServerConfig::default(), |_, _, _| panic!("must not be submitted"));
     let key_of_a_newer_configuration = "authorization: Bearer not-known-here\r\n";
-    let asked = callers.client().post("/v1/completions", key_of_a_newer_configuration, WHOLE);
-    assert_eq!((asked.status, asked.json()["error"]["code"].as_str()), (503, Some("node_suspended")));
+    let refused = callers.client().post("/v1/completions", key_of_a_newer_configuration, NON_STREAMING);
+    assert_eq!((refused.status, refused.json()["error"]["code"].as_str()), (503, Some("node_suspended")));
     assert_eq!(callers.client().get("/v1/models").status, 503);
 }
 
 #[test]
 fn a_request_whose_handler_panics_may_have_run_and_is_counted() {
-    let callers = Callers::new(|_, _, _| panic!("as the test wants"));
-    let response = post(&callers, "", WHOLE);
+    let callers = Callers::new(|_, _, _| panic!("panic expected by the test"));
+    let response = post(&callers, "", NON_STREAMING);
     assert_eq!((response.status, response.header("x-havengate-verdict")), (500, Some("may_have_run")));
     assert_eq!(response.json()["error"]["code"], "handler_failed");
     callers.assert_metric("verdict=\"may_have_run\",reason=\"answer_cut\"} 1");
@@ -311,15 +313,15 @@
 }
 
 #[test]
-fn a_hang_up_reaches_the_handler() {
+fn a_disconnect_is_signalled_to_the_handler() {
     let (sender, receiver) = unbounded();
     let callers = Callers::new(move |_, _, hang_up| {
-        sender.send(hang_up.clone()).expect("test is there");
+        sender.send(hang_up.clone()).expect("test is receiving");
         let _ = hang_up.over().recv_timeout(PATIENCE);
         Verdict::MayHaveRun(MayHaveRun::CallerGone)
     });
     let mut client: RawClient = callers.client();
-    client.send_post("/v1/completions", KEY, WHOLE);
+    client.send_post("/v1/completions", KEY, NON_STREAMING);
     let hang_up = receiver.recv_timeout(PATIENCE).expect("submitted");
     client.hang_up();
     assert!(hang_up.over().recv_timeout(PATIENCE).is_err_and(|error| error.is_disconnected()));
@@ -327,20 +329,20 @@
 }
 
 #[test]
-fn a_drain_lets_streams_end() {
+fn a_drain_waits_for_open_streams() {
     let (finish, wait) = bounded::<()>(0);
     let callers = Arc::new(Callers::new(move |request, answer, hang_up| {
-        wait.recv_timeout(PATIENCE).expect("told to go on");
+        wait.recv_timeout(PATIENCE).expect("released by the test");
         approve(request, answer, hang_up)
     }));
     let mut client = callers.client();
-    client.send_post("/v1/completions", KEY, STREAM);
+    client.send_post("/v1/completions", KEY, STREAMING);
     let open = || callers.metrics.streams_open.get();
     while open() == 0 {
         std::thread::yield_now();
     }
-    let draining = Arc::clone(&callers);
-    let drain = std::thread::spawn(move || draining.server.drain(PATIENCE));
+    let drained = Arc::clone(&callers);
+    let drain = std::thread::spawn(move || drained.server.drain(PATIENCE));
     while TcpStream::connect(callers.server.local_address()).is_ok() {
         std::thread::yield_now();
     }
--- a/crates/node/tests/callers_bad_input.rs
+++ b/crates/node/tests/callers_bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input to the callers' API: each is a clear 4xx with the verdict `not_run`, and the API serves on.
+//! Tests that the callers' API answers bad input with a 4xx status and the verdict `not_run`, and keeps serving.
 
 mod callers_support;
 mod http_server_support;
@@ -10,7 +10,7 @@
 use havengate_node::http_server::HttpServerConfig;
 use http_server_support::{RawClient, RawResponse};
 
-const GOOD: &str = r#"{"model": "lekh-model", "prompt": "check"}"#;
+const VALID: &str = r#"{"model": "lekh-model", "prompt": "check"}"#;
 
 fn callers() -> Callers {
     let config = HttpServerConfig {
@@ -31,10 +31,10 @@
 }
 
 fn assert_serves(callers: &Callers) {
-    assert_eq!(callers.client().post("/v1/completions", KEY, GOOD).status, 200);
+    assert_eq!(callers.client().post("/v1/completions", KEY, VALID).status, 200);
 }
 
-/// Sends each body to `path`; each must be refused as invalid.
+/// Sends each body to `path` and checks that it is refused as invalid.
 fn assert_invalid(path: &str, bodies: &[&str]) {
     let callers = callers();
     let mut client = callers.client();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn bodies_that_are_not_requests() {
+fn malformed_bodies_are_refused() {
     assert_invalid(
         "/v1/completions",
         &[
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn wrong_types() {
+fn fields_of_the_wrong_type_are_refused() {
     assert_invalid(
         "/v1/completions",
         &[
@@ -83,7 +83,7 @@
     assert_invalid(
         "/v1/chat/completions",
         &[
-            GOOD,
+            VALID,
             r#"{"model": "lekh-model", "messages": []}"#,
             r#"{"model": "lekh-model", "messages": [{"role": "user"}]}"#,
             r#"{"model": "lekh-model", "messages": [{"role": "user", "content": [{"type": "image_url"}]}]}"#,
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn negative_and_absurd_limits() {
+fn token_limits_out_of_range_are_refused() {
     let body = |value: &str| format!(r#"{{"model": "lekh-model", "prompt": "x", "max_tokens": {value}}}"#);
     let bodies = ["-1", "0", "1.5", "16385", "4294967295", "99999999999999999999", "1e9"].map(body);
     assert_invalid("/v1/completions", &bodies.each_ref().map(String::as_str));
 }
 
 #[test]
-fn fields_that_would_change_the_answer_and_have_no_effect() {
+fn unsupported_and_unknown_fields_are_refused() {
     assert_invalid(
         "/v1/completions",
         &[
@@ -111,43 +111,43 @@
 }
 
 #[test]
-fn a_prompt_that_no_engine_can_hold() {
+fn a_prompt_beyond_the_kv_capacity_is_refused() {
     let prompt = "word ".repeat(50_000);
     let body = format!(r#"{{"model": "lekh-model", "prompt": "{prompt}"}}"#);
     assert_invalid("/v1/completions", &[&body]);
 }
 
 #[test]
-fn json_nested_beyond_measure() {
+fn deeply_nested_json_is_refused() {
     let nested = format!(r#"{{"model": "lekh-model", "prompt": {}"#, "[".repeat(100_000));
     assert_invalid("/v1/completions", &[&nested]);
 }
 
 #[test]
-fn unknown_models_and_contracts() {
+fn unknown_models_and_contracts_are_refused() {
     let callers = callers();
     let mut client = callers.client();
     let unknown = client.post("/v1/completions", KEY, r#"{"model": "gpt-9", "prompt": "x"}"#);
     assert_refused(&unknown, 404, "unknown_model", "model");
-    let contract = client.post("/v1/completions", &format!("{KEY}x-request-contract: gold\r\n"), GOOD);
+    let contract = client.post("/v1/completions", &format!("{KEY}x-request-contract: gold\r\n"), VALID);
     assert_refused(&contract, 400, "invalid_request", "contract");
     assert_serves(&callers);
 }
 
 #[test]
-fn keys_that_belong_to_no_tenant() {
+fn unknown_and_missing_api_keys_are_refused() {
     let callers = callers();
     let mut client = callers.client();
     for headers in ["", "authorization: Bearer wrong\r\n", "authorization: Basic press-key\r\n", "authorization: x\r\n"]
     {
-        let response = client.post("/v1/completions", headers, GOOD);
+        let response = client.post("/v1/completions", headers, VALID);
         assert_refused(&response, 401, "unknown_tenant", headers);
     }
     assert_serves(&callers);
 }
 
 #[test]
-fn headers_out_of_range() {
+fn invalid_header_values_are_refused() {
     let callers = callers();
     let mut client = callers.client();
     let long_key = "k".repeat(256);
@@ -165,18 +165,18 @@
         format!("idempotency-key: {long_key}"),
     ];
     for case in &cases {
-        let response = client.post("/v1/completions", &format!("{KEY}{case}\r\n"), GOOD);
+        let response = client.post("/v1/completions", &format!("{KEY}{case}\r\n"), VALID);
         assert_refused(&response, 400, "invalid_request", case);
     }
     assert_serves(&callers);
 }
 
 #[test]
-fn unknown_paths_and_methods() {
+fn unknown_paths_and_methods_are_refused() {
     let callers = callers();
     let mut client = callers.client();
     assert_refused(&client.get("/"), 404, "unknown_path", "/");
-    assert_refused(&client.post("/v1/embeddings", KEY, GOOD), 404, "unknown_path", "embeddings");
+    assert_refused(&client.post("/v1/embeddings", KEY, VALID), 404, "unknown_path", "embeddings");
     let get = client.get("/v1/completions");
     assert_refused(&get, 405, "method_not_allowed", "GET");
     assert_eq!(get.header("allow"), Some("POST"));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn ten_megabytes_truncated_or_not() {
+fn oversized_bodies_are_refused() {
     let callers = callers();
     let body = format!(r#"{{"model": "lekh-model", "prompt": "{}"#, "x ".repeat(5_000_000));
     assert_refused(&callers.client().post("/v1/completions", KEY, &body), 413, "body_too_large", "10 MB");
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn slow_senders() {
+fn slow_requests_time_out() {
     let callers = callers();
     let slow_clients: Vec<RawClient> = ["POST /v1/comp", "POST /v1/completions HTTP/1.1\r\ncontent-length: 9\r\n\r\n{"]
         .into_iter()
@@ -217,18 +217,18 @@
 }
 
 #[test]
-fn header_floods() {
+fn oversized_headers_are_refused() {
     let callers = callers();
     let many: String = (0..10_000).map(|index| format!("x-{index}: y\r\n")).collect();
     let long = format!("x-long: {}\r\n", "y".repeat(1_000_000));
-    for flood in [many, long] {
-        assert_eq!(callers.client().post("/v1/completions", &flood, GOOD).status, 431);
+    for headers in [many, long] {
+        assert_eq!(callers.client().post("/v1/completions", &headers, VALID).status, 431);
     }
     assert_serves(&callers);
 }
 
 #[test]
-fn more_requests_than_threads() {
+fn requests_beyond_the_thread_limit_are_refused() {
     let (release, wait) = crossbeam::channel::bounded::<()>(0);
     let config = HttpServerConfig { requests_maximum: 1, ..HttpServerConfig::default() };
     let callers = Callers::with(Readiness::Ready, config, move |request, answer, hang_up| {
@@ -236,12 +236,12 @@
         approve(request, answer, hang_up)
     });
     let mut first = callers.client();
-    first.send_post("/v1/completions", KEY, GOOD);
+    first.send_post("/v1/completions", KEY, VALID);
     while callers.metrics.streams_open.get() == 0 {
         std::thread::yield_now();
     }
-    let refused = callers.client().post("/v1/completions", KEY, GOOD);
-    assert_refused(&refused, 503, "too_many_requests", "beyond the threads");
+    let refused = callers.client().post("/v1/completions", KEY, VALID);
+    assert_refused(&refused, 503, "too_many_requests", "beyond the thread limit");
     assert_eq!(refused.header("retry-after"), Some("1"));
     drop(release);
     assert_eq!(first.response().status, 200);
--- a/crates/node/tests/callers_support/mod.rs
+++ b/crates/node/tests/callers_support/mod.rs
@@ -1,6 +1,6 @@
-//! The callers' API over a socket, with a request handler that does what the test says.
+//! Serves the callers' API on a socket, with a request handler defined by the test.
 
-#![allow(dead_code, reason = "each test binary uses a part")]
+#![allow(dead_code, reason = "each test binary uses only a part of this module")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 
 use crate::http_server_support::{PATIENCE, RawClient};
 
-/// What the handler does with a request.
+/// The function that the handler runs for each request.
 pub type Behaviour = dyn Fn(&CallerRequest, &mut dyn AnswerSink, &HangUp) -> Verdict + Send + Sync;
 
-/// The header lines of an ordinary request.
+/// Authorization header line of the configured tenant.
 pub const KEY: &str = "authorization: Bearer press-key\r\n";
 
 const CONFIGURATION: &str = r#"
@@ -81,14 +81,14 @@
     }
 }
 
-/// A callers' API that listens.
+/// A running server of the callers' API.
 pub struct Callers {
     pub server: HttpServerHandle,
     pub metrics: Arc<Metrics>,
 }
 
 impl Callers {
-    /// An API in front of a handler with `behaviour`.
+    /// Starts a ready API server whose handler runs `behaviour`.
     pub fn new(
         behaviour: impl Fn(&CallerRequest, &mut dyn AnswerSink, &HangUp) -> Verdict + Send + Sync + 'static,
     ) -> Self {
@@ -105,11 +105,11 @@
         let handler = Arc::new(FakeHandler { directory, readiness, behaviour: Box::new(behaviour) });
         let metrics = Arc::new(Metrics::new());
         let api = Arc::new(CallerApi::new(handler, CallerLimits::default(), Arc::clone(&metrics)));
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        Callers { server: HttpServer::bind(any, config, api).expect("binds"), metrics }
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        Callers { server: HttpServer::bind(any_port, config, api).expect("binds"), metrics }
     }
 
-    /// Waits for `line` among the metrics: a request is counted once its answer has been written.
+    /// Waits until the metrics contain `line`; requests are counted only after their answer is written.
     pub fn assert_metric(&self, line: &str) {
         let deadline = Instant::now() + PATIENCE;
         loop {
@@ -127,7 +127,7 @@
     }
 }
 
-/// A piece of one token for each word of `text`.
+/// Builds a piece with one token per word of `text`.
 pub fn piece(request: RequestId, first_token: u32, text: &str, finish: Option<FinishReason>) -> AnswerPiece {
     let tokens = text.split_whitespace().count() as u32;
     AnswerPiece { request, first_token, tokens, text: text.to_owned(), finish }
