--- a/crates/node/src/callers/format.rs
+++ b/crates/node/src/callers/format.rs
@@ -14,7 +14,7 @@
     kind: CompletionKind,
     id: String,
     model: String,
-    /// Unix time, in seconds.
+    /// Seconds since 1970 (Unix time).
     created: u64,
 }
 
--- a/crates/node/src/callers/record.rs
+++ b/crates/node/src/callers/record.rs
@@ -60,8 +60,8 @@
         metrics.token_interval.get_or_create(&contract).observe(interval.as_secs_f64());
     }
     log::info!(
-        tenant:% = attributes.tenant, contract:% = attributes.contract, model:% = attributes.model, verdict = outcome.verdict.code(),
-        reason, prompt_tokens = attributes.prompt_tokens, tokens = outcome.tokens, replayed = outcome.replayed;
+        tenant:% = attributes.tenant, contract:% = attributes.contract, model:% = attributes.model,
+        verdict = outcome.verdict.code(), reason, prompt_tokens = attributes.prompt_tokens, tokens = outcome.tokens, replayed = outcome.replayed;
         "request_ended"
     );
 }
@@ -70,7 +70,10 @@
 pub(super) fn record_panic(metrics: &Metrics, attributes: &RequestAttributes) {
     let verdict = Verdict::MayHaveRun(MayHaveRun::AnswerCut);
     metrics.requests.get_or_create(&attributes.labels(&verdict)).inc();
-    log::error!(tenant:% = attributes.tenant, model:% = attributes.model, verdict = verdict.code(); "request_handler_panicked");
+    log::error!(
+        tenant:% = attributes.tenant, model:% = attributes.model, verdict = verdict.code();
+        "request_handler_panicked"
+    );
 }
 
 /// Records a request that was refused before submission.
--- a/crates/node/tests/callers_support/mod.rs
+++ b/crates/node/tests/callers_support/mod.rs
@@ -1,6 +1,6 @@
 //! Serves the callers' API on a socket, with a request handler defined by the test.
 
-#![allow(dead_code, reason = "each test binary uses only a part of this module")]
+#![allow(dead_code, reason = "each test binary uses a part")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
