--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -3,7 +3,7 @@
 //! | call | answer |
 //! |---|---|
 //! | `GET /v1/models` | the models |
-//! | `POST /v1/completions` | a completion of `prompt`, as one body or (`stream: true`) as server-sent events |
+//! | `POST /v1/completions` | a completion of `prompt`, one body or (`stream: true`) as server-sent events |
 //! | `POST /v1/chat/completions` | the same for `messages` |
 //!
 //! A refusal is a JSON error with a stable code; the body and the header `X-Havengate-Verdict` state whether the request
--- a/crates/node/src/callers/record.rs
+++ b/crates/node/src/callers/record.rs
@@ -61,7 +61,8 @@
     }
     log::info!(
         tenant:% = attributes.tenant, contract:% = attributes.contract, model:% = attributes.model,
-        verdict = outcome.verdict.code(), reason, prompt_tokens = attributes.prompt_tokens, tokens = outcome.tokens, replayed = outcome.replayed;
+        verdict = outcome.verdict.code(), reason, prompt_tokens = attributes.prompt_tokens,
+        tokens = outcome.tokens, replayed = outcome.replayed;
         "request_ended"
     );
 }
