--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -6,7 +6,7 @@
 //! | `POST /v1/completions` | a completion of `prompt`, one body or (`stream: true`) as server-sent events |
 //! | `POST /v1/chat/completions` | the same for `messages` |
 //!
-//! A refusal is a JSON error with a stable code; the body and the header `X-Havengate-Verdict` state whether the request
+//! A refusal is a JSON error with a stable code; the body and the header `X-Havengate-Verdict` say whether the request
 //! may have run. An interrupted stream ends with an `error` event and an unterminated body, never with `[DONE]`.
 
 mod api;
