--- a/crates/core/src/relay/engine_cache.rs
+++ b/crates/core/src/relay/engine_cache.rs
@@ -63,22 +63,22 @@
     pub(super) fn announced_parts(&self, parts_maximum: usize) -> Vec<AnnouncedPart> {
         let announced = self.parts.iter().map(|(id, entry)| AnnouncedPart {
             part: PromptPart { id: *id, tokens: entry.tokens },
-            brought_since: self.added - entry.added_before,
+            added_since: self.added - entry.added_before,
         });
         let mut parts: Vec<AnnouncedPart> = announced.collect();
-        parts.sort_by_key(|part| (part.brought_since, part.part.id));
+        parts.sort_by_key(|part| (part.added_since, part.part.id));
         parts.truncate(parts_maximum);
         parts
     }
 
     /// Merges a peer's estimate; parts that this node knows already stay as they are.
     pub(super) fn adopt(&mut self, announced: Vec<AnnouncedPart>, now: Timestamp) {
-        let oldest = announced.iter().map(|part| part.brought_since).max().unwrap_or(0);
+        let oldest = announced.iter().map(|part| part.added_since).max().unwrap_or(0);
         let missing = oldest.saturating_sub(self.added);
         self.added += missing;
         self.parts.values_mut().for_each(|entry| entry.added_before += missing);
-        for AnnouncedPart { part, brought_since } in announced {
-            let added_before = self.added - brought_since;
+        for AnnouncedPart { part, added_since } in announced {
+            let added_before = self.added - added_since;
             self.parts.entry(part.id).or_insert(CacheEntry { tokens: part.tokens, used_at: now, added_before });
         }
     }
--- a/crates/core/src/relay/engine_model.rs
+++ b/crates/core/src/relay/engine_model.rs
@@ -119,7 +119,7 @@
         [
             ("prefill_tokens_per_millisecond", self.prefill.estimate()),
             ("decode_tokens_per_millisecond", self.decode.estimate()),
-            ("move_milliseconds_per_1000_tokens", self.moves.shown(now)),
+            ("move_milliseconds_per_1000_tokens", self.moves.estimate(now)),
         ]
     }
 }
--- a/crates/core/src/relay/mod.rs
+++ b/crates/core/src/relay/mod.rs
@@ -1,5 +1,6 @@
 //! Decisions about one opaque request: where it is sent, whether it is sent again, and its final outcome.
 
+mod announcement_pace;
 mod attribution;
 mod content;
 mod engine_cache;
@@ -17,12 +18,12 @@
 mod prompt_index;
 mod quantile_estimate;
 mod retry_budget;
-mod short_reading;
+mod short_prefill;
 mod suspicions;
-mod telling_pace;
 mod termination_notice;
 mod urgency;
 
+pub use announcement_pace::{AnnouncementPace, AnnouncementPaceConfig};
 pub use attribution::{Attribution, AttributionRules, EngineTermination, attribute_terminations};
 pub use content::{ContentId, InvalidContentId};
 pub use engine_model::{EngineModel, PrefillTotals};
@@ -38,8 +39,7 @@
 pub use prompt_index::{PromptIndex, PromptIndexConfig};
 pub use quantile_estimate::Estimate;
 pub use retry_budget::{BudgetShare, SharedRetryBudget, SharedRetryBudgetConfig};
-pub use short_reading::ShortPrefill;
+pub use short_prefill::ShortPrefill;
 pub use suspicions::{Suspicions, SuspicionsConfig, UnreachableNotice};
-pub use telling_pace::{AnnouncementPace, AnnouncementPaceConfig};
 pub use termination_notice::{AnsweredContent, ReportedRun, ReportedTermination, TerminationNotice};
 pub use urgency::Urgency;
--- a/crates/core/src/relay/moves.rs
+++ b/crates/core/src/relay/moves.rs
@@ -76,7 +76,7 @@
     }
 
     /// The estimate at `now`, in milliseconds per 1,000 tokens.
-    pub fn shown(&self, now: Timestamp) -> Estimate {
+    pub fn estimate(&self, now: Timestamp) -> Estimate {
         self.at(now).estimate()
     }
 
--- a/crates/core/src/relay/peer_notice.rs
+++ b/crates/core/src/relay/peer_notice.rs
@@ -46,7 +46,7 @@
     /// The part.
     pub part: PromptPart,
     /// Tokens that were added to the engine's cache since the part was last used.
-    pub brought_since: u64,
+    pub added_since: u64,
 }
 
 /// The open prefills of one engine for the sender, summed up: the size of the entry does not grow with the number of
--- a/crates/core/src/relay/prompt_index.rs
+++ b/crates/core/src/relay/prompt_index.rs
@@ -134,7 +134,7 @@
 
     /// Records that `engine` has fetched the KV cache of `prompt` from another engine and has the prompt's shared parts
     /// in its cache. The engine began its answer `took` after the request was sent.
-    pub fn record_move(&mut self, engine: &BackEndId, prompt: &Prompt, took: Duration, now: Timestamp) {
+    pub fn record_cache_transfer(&mut self, engine: &BackEndId, prompt: &Prompt, took: Duration, now: Timestamp) {
         self.model.observe_move(prompt.tokens, took, now);
         self.finish(engine.into(), prompt.shared_parts().to_vec(), prompt.tokens, now);
     }
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -107,7 +107,7 @@
     pub configuration_millis: Option<u32>,
     /// How long ago the configuration was verified to be the newest, where time in transit or spent waiting never lowers
     /// the age; `None`: never verified.
-    pub configuration_shown_millis: Option<u32>,
+    pub configuration_current_millis: Option<u32>,
     /// Age of the confirmation of the directory; `None`: never confirmed.
     pub directory_millis: Option<u32>,
 }
--- a/crates/core/tests/relay_placement.rs
+++ b/crates/core/tests/relay_placement.rs
@@ -208,7 +208,7 @@
     let default = PlacementConfig::default();
     let first = place_with(&index, &default).expect("there are engines");
     let cache_peer = if first == 0 { &other } else { &prefill };
-    index.record_move(&cache_peer.id, &prompt(1), Duration::from_millis(12), NOW);
+    index.record_cache_transfer(&cache_peer.id, &prompt(1), Duration::from_millis(12), NOW);
     assert_ne!(place_with(&index, &default), Some(first), "the prefill is placed where the part is cached");
     let without_affinity = PlacementConfig { affinity: false, ..default };
     assert_eq!(place_with(&index, &without_affinity), Some(first));
--- a/crates/core/tests/relay_prompt_index.rs
+++ b/crates/core/tests/relay_prompt_index.rs
@@ -188,7 +188,7 @@
 #[test]
 fn a_transferred_cache_counts_at_its_new_engine_too() {
     let (mut here, mut there) = (index(), index());
-    here.record_move(&engine(2), &prompt(), Duration::from_millis(15), START);
+    here.record_cache_transfer(&engine(2), &prompt(), Duration::from_millis(15), START);
     there.receive(here.notice(address(1), 1, START), START);
     for index in [&here, &there] {
         assert_eq!(uncached_tokens(index, 2), 3_000);
--- a/crates/core/tests/support/engine_world.rs
+++ b/crates/core/tests/support/engine_world.rs
@@ -151,7 +151,7 @@
         let took = Duration::from_secs_f64(millis * f64::from(prompt.tokens) / 1e6);
         let engine = self.engines[PREFILL_ENGINES].back_end.id.clone();
         for node in &mut self.nodes {
-            (0..count).for_each(|_| node.index.record_move(&engine, &prompt, took, now));
+            (0..count).for_each(|_| node.index.record_cache_transfer(&engine, &prompt, took, now));
         }
     }
 
@@ -237,7 +237,9 @@
                 }
                 let took = Duration::from_micros(self.now - sent);
                 match (is_long, was_moved) {
-                    (true, true) => node.index.record_move(&self.engines[engine].back_end.id, &prompt, took, now),
+                    (true, true) => {
+                        node.index.record_cache_transfer(&self.engines[engine].back_end.id, &prompt, took, now)
+                    }
                     (true, false) => {}
                     (false, on_prefill_engine) => {
                         node.short_prefill.observe(on_prefill_engine, took);
--- a/crates/relay/src/broken_runs.rs
+++ b/crates/relay/src/broken_runs.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::back_ends::{ConnectError, ConnectionPool};
-use crate::engine_ends::SharedEngineTerminations;
+use crate::engine_terminations::SharedEngineTerminations;
 use crate::metrics::RelayMetrics;
 
 /// A terminating process closes its connections and its listener one after the other. A check in between would find it
@@ -178,7 +178,7 @@
     /// Records that the complete answer was received.
     pub fn completed(&self) {
         if !self.details.is_prefill {
-            self.runs.shared.terminations.record_served(self.details.content);
+            self.runs.shared.terminations.record_answered(self.details.content);
         }
     }
 }
--- a/crates/relay/src/callers/handler.rs
+++ b/crates/relay/src/callers/handler.rs
@@ -36,7 +36,7 @@
             answer.response()
         }
     };
-    if traffic.leaving.get() {
+    if traffic.stopping.get() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
--- a/crates/relay/src/callers/mod.rs
+++ b/crates/relay/src/callers/mod.rs
@@ -16,5 +16,5 @@
 pub use answer::{LocalAnswer, RelayBody};
 pub use handler::handle;
 pub use record::RequestRecord;
-pub use server::{CallerServer, LAST_CONNECTIONS_PATIENCE, ServerPhase, listen};
+pub use server::{CallerServer, LAST_CONNECTIONS_GRACE, ServerPhase, listen};
 pub use traffic::{ActiveRequests, Traffic};
--- a/crates/relay/src/callers/server.rs
+++ b/crates/relay/src/callers/server.rs
@@ -32,7 +32,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// How long a connection that was opened just before the listener closed may take to send its first request.
-pub const LAST_CONNECTIONS_PATIENCE: Duration = Duration::from_millis(300);
+pub const LAST_CONNECTIONS_GRACE: Duration = Duration::from_millis(300);
 
 /// The phase of the server, which changes in a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -114,7 +114,7 @@
         tokio::pin!(connection);
         let closing = async {
             let _ = phase.wait_for(|phase| *phase == ServerPhase::Closing).await;
-            sleep(LAST_CONNECTIONS_PATIENCE).await;
+            sleep(LAST_CONNECTIONS_GRACE).await;
         };
         tokio::select! {
             // Connection errors of the caller and of the back end are logged with the request.
--- a/crates/relay/src/callers/traffic.rs
+++ b/crates/relay/src/callers/traffic.rs
@@ -58,7 +58,7 @@
     /// The number of open requests.
     pub active: ActiveRequests,
     /// Whether the node is in a planned stop: answers then carry `Connection: close`.
-    pub leaving: Cell<bool>,
+    pub stopping: Cell<bool>,
     budgets: RefCell<HashMap<ServiceName, SharedRetryBudget>>,
     budget_config: Cell<SharedRetryBudgetConfig>,
     placement: Cell<PlacementConfig>,
@@ -77,11 +77,11 @@
         let SharedWithTraffic { knowledge, demand, usage, configuration_current_at, notices, clock, metrics } = shared;
         let pool = ConnectionPool::new(PoolLimits::default());
         let peer_notices = PeerNotices::new(Arc::clone(&knowledge), notices.clone(), clock, metrics.clone());
-        let engine_ends = peer_notices.engine_terminations().clone();
+        let engine_terminations = peer_notices.engine_terminations().clone();
         Traffic {
             protocol,
             clock,
-            broken_runs: BrokenRuns::new(pool.clone(), engine_ends, clock, metrics.clone()),
+            broken_runs: BrokenRuns::new(pool.clone(), engine_terminations, clock, metrics.clone()),
             pool,
             loads: BackEndLoads::default(),
             notices,
@@ -96,7 +96,7 @@
             revocation_limit: Cell::default(),
             metrics,
             active: ActiveRequests::default(),
-            leaving: Cell::new(false),
+            stopping: Cell::new(false),
             budgets: RefCell::default(),
             budget_config: Cell::new(budget_config),
             splits: RefCell::default(),
@@ -134,7 +134,7 @@
 
     /// Sets the maximum age of the node's keys. Requests that need a key are refused while the node can't prove that
     /// its keys are newer.
-    pub fn set_revocation(&self, limit: Option<Duration>) {
+    pub fn set_revocation_limit(&self, limit: Option<Duration>) {
         self.revocation_limit.set(limit);
     }
 
@@ -151,10 +151,10 @@
         budgets.iter().map(|(service, budget)| (service.clone(), budget.left(now))).collect()
     }
 
-    /// Times a request with a short prompt from now until its answer begins or it is given up. `prefilled_apart` tells
+    /// Times a request with a short prompt from now until its answer begins or it is given up. `on_prefill_engine` tells
     /// whether a separate engine prefills the prompt.
-    pub fn time_short_prompt(&self, prefilled_apart: bool) -> ShortPromptTimer<'_, P> {
-        ShortPromptTimer { traffic: self, prefilled_apart, began: self.clock.now() }
+    pub fn time_short_prompt(&self, on_prefill_engine: bool) -> ShortPromptTimer<'_, P> {
+        ShortPromptTimer { traffic: self, on_prefill_engine, began: self.clock.now() }
     }
 
     /// By which factor the prefill of late prompts takes longer than expected.
@@ -183,14 +183,14 @@
 /// Records on drop how long a request with a short prompt took. This also counts callers that hung up.
 pub struct ShortPromptTimer<'t, P> {
     traffic: &'t Traffic<P>,
-    prefilled_apart: bool,
+    on_prefill_engine: bool,
     began: Timestamp,
 }
 
 impl<P> Drop for ShortPromptTimer<'_, P> {
     fn drop(&mut self) {
         let mut short_prefill = self.traffic.short_prefill.get();
-        short_prefill.observe(self.prefilled_apart, self.traffic.clock.now().since(self.began));
+        short_prefill.observe(self.on_prefill_engine, self.traffic.clock.now().since(self.began));
         self.traffic.short_prefill.set(short_prefill);
     }
 }
--- a/crates/relay/src/control/duties/holder.rs
+++ b/crates/relay/src/control/duties/holder.rs
@@ -93,8 +93,8 @@
         } = parts;
         let clock = learner.clock();
         let initial = *settings.borrow();
-        let life = fastrand::u64(..);
-        let lease = Lease::new(initial.lease.lease(), HolderId { node: node.clone(), life });
+        let incarnation = fastrand::u64(..);
+        let lease = Lease::new(initial.lease.lease(), HolderId { node: node.clone(), life: incarnation });
         let fleet = receiver.clone().map(|receiver| {
             FleetDuty::new(FleetDutyParts {
                 node: node.clone(),
@@ -109,7 +109,7 @@
             UsageDuty::new(UsageDutyParts {
                 node: node.clone(),
                 own,
-                life,
+                incarnation,
                 store: store.clone(),
                 receiver,
                 usage,
@@ -121,7 +121,7 @@
         let stage_controller = StageController::new(StageControllerParts {
             node,
             own,
-            life,
+            incarnation,
             policy: initial.stages,
             protocol,
             demand: demand.clone(),
--- a/crates/relay/src/control/duties/usage_duty.rs
+++ b/crates/relay/src/control/duties/usage_duty.rs
@@ -41,7 +41,7 @@
     /// The node's peer address, which identifies it among its peers.
     pub own: Address,
     /// Distinguishes incarnations of the node's process.
-    pub life: u64,
+    pub incarnation: u64,
     /// The store.
     pub store: S,
     /// Receiver of reports.
@@ -60,7 +60,7 @@
 pub struct UsageDuty<S, D> {
     node: NodeName,
     own: Address,
-    life: u64,
+    incarnation: u64,
     store: S,
     receiver: D,
     usage: SharedUsage,
@@ -81,12 +81,12 @@
 impl<S: ControlStore, D: DutyReceiver> UsageDuty<S, D> {
     /// Creates the duty of a node that has just started.
     pub fn new(parts: UsageDutyParts<S, D>) -> Self {
-        let UsageDutyParts { node, own, life, store, receiver, usage, peers, learner, metrics } = parts;
+        let UsageDutyParts { node, own, incarnation, store, receiver, usage, peers, learner, metrics } = parts;
         let clock = learner.clock();
         UsageDuty {
             node,
             own,
-            life,
+            incarnation,
             store,
             receiver,
             usage,
@@ -134,7 +134,7 @@
 
     fn messages_for(&mut self, candidate: Address, config: &UsageConfig) -> Vec<UsageCountsMessage> {
         let true_time = self.usage.true_time();
-        let (sender, incarnation, announcements) = (self.own, self.life, &mut self.announcements);
+        let (sender, incarnation, announcements) = (self.own, self.incarnation, &mut self.announcements);
         self.usage.with_counts(|counts| {
             let due = announcements.due(candidate, counts, config, true_time);
             let windows = counts.windows().filter(|(window, _)| due.contains(window));
--- a/crates/relay/src/control/learner.rs
+++ b/crates/relay/src/control/learner.rs
@@ -406,7 +406,7 @@
         let confirmed = |age_millis| self.confirmed_at(&answer, asked_at, age_millis);
         let ages = answer.ages;
         let (configuration, directory) = (confirmed(ages.configuration_millis), confirmed(ages.directory_millis));
-        let current_age_millis = ages.configuration_shown_millis;
+        let current_age_millis = ages.configuration_current_millis;
         for update in answer.configuration {
             self.adopt_update(update);
         }
@@ -487,7 +487,7 @@
             directory: self.directory.borrow().update_since(pull.directory),
             ages: KnowledgeAges {
                 configuration_millis: age(self.configuration_confirmed_at.get()),
-                configuration_shown_millis: age(self.configuration_current_at.get()),
+                configuration_current_millis: age(self.configuration_current_at.get()),
                 directory_millis: age(knowledge.directory_confirmed_at),
             },
             waited_millis: u32::try_from(waited.as_millis()).unwrap_or_default(),
--- a/crates/relay/src/control/stages/stage_controller.rs
+++ b/crates/relay/src/control/stages/stage_controller.rs
@@ -42,7 +42,7 @@
     /// The node's peer address, which identifies it among its peers.
     pub own: Address,
     /// Distinguishes incarnations of the node's process.
-    pub life: u64,
+    pub incarnation: u64,
     /// The policy that assigns engines to stages.
     pub policy: StagePolicyConfig,
     /// Protocol of the engines.
@@ -77,7 +77,7 @@
 /// Controls the stages of engines from this node.
 pub struct StageController<P> {
     own: Address,
-    life: u64,
+    incarnation: u64,
     orders: EngineOrders<P>,
     demand: SharedDemand,
     notices: SharedNotices,
@@ -96,12 +96,12 @@
 impl<P: Protocol> StageController<P> {
     /// Creates the controller of a node that has just started.
     pub fn new(parts: StageControllerParts<P>) -> Self {
-        let StageControllerParts { node, own, life, policy, protocol, demand, notices, learner, peers, metrics } =
+        let StageControllerParts { node, own, incarnation, policy, protocol, demand, notices, learner, peers, metrics } =
             parts;
         let pool = ConnectionPool::new(PoolLimits::default());
         StageController {
             own,
-            life,
+            incarnation,
             orders: EngineOrders { protocol, pool, holder: node, clock: learner.clock() },
             decisions: Decisions::new(peers.demand(), policy),
             demand,
@@ -195,7 +195,7 @@
             return;
         }
         self.reported_at = Some(now);
-        let report = self.demand.report(self.own, self.life);
+        let report = self.demand.report(self.own, self.incarnation);
         let others: Vec<Address> = candidates.iter().copied().filter(|candidate| *candidate != self.own).collect();
         if others.len() < candidates.len() {
             self.peers.demand().borrow_mut().receive(report.clone(), now);
--- a/crates/relay/src/engine_ends.rs
+++ b/crates/relay/src/engine_terminations.rs
@@ -74,7 +74,7 @@
     }
 
     /// Records that a request was answered completely, and notifies peers if an engine had terminated while running it.
-    pub fn record_served(&self, content: ContentId) {
+    pub fn record_answered(&self, content: ContentId) {
         let was_attributed = self.shared.terminations.borrow().is_attributed(content);
         let served = self.shared.terminations.borrow_mut().record_answered(content, self.shared.clock.now());
         if let Some(attributions) = served {
@@ -105,18 +105,18 @@
     }
 
     /// How many requests are blocked now.
-    pub fn blocked(&self) -> usize {
+    pub fn blocked_count(&self) -> usize {
         self.shared.terminations.borrow().blocked_count(self.shared.clock.now())
     }
 
     /// Whether updates are pending announcement to peers.
-    pub fn has_unannounced(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         self.shared.terminations.borrow().has_pending()
     }
 
     /// Waits until updates are pending announcement to peers.
     pub async fn wait_for_updates(&self) {
-        while !self.has_unannounced() {
+        while !self.has_pending() {
             self.shared.pending_updates.notified().await;
         }
     }
@@ -127,7 +127,7 @@
     }
 
     /// The notice to a newly started node; `None` when no request has attributions.
-    pub fn known_attributions(&self, sender: Address) -> Option<TerminationNotice> {
+    pub fn attribution_notice(&self, sender: Address) -> Option<TerminationNotice> {
         self.shared.terminations.borrow().attribution_notice(sender, self.shared.clock.now())
     }
 
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod control;
 pub mod datagrams;
 pub mod demand;
-pub mod engine_ends;
+pub mod engine_terminations;
 pub mod knowledge;
 pub mod metrics;
 pub mod peer_notices;
--- a/crates/relay/src/peer_notices/announcements.rs
+++ b/crates/relay/src/peer_notices/announcements.rs
@@ -140,7 +140,7 @@
 
     /// Sends a node the requests that engine terminations are attributed to.
     async fn send_attributions(&self, receiver: Address) {
-        let notice = self.sender().and_then(|sender| self.shared.engine_terminations.known_attributions(sender));
+        let notice = self.sender().and_then(|sender| self.shared.engine_terminations.attribution_notice(sender));
         if let Some(notice) = notice {
             self.send(&PeerNotice::Terminations(notice), NodeMessageKind::Terminations, &[receiver]).await;
         }
--- a/crates/relay/src/peer_notices/mod.rs
+++ b/crates/relay/src/peer_notices/mod.rs
@@ -22,7 +22,7 @@
 use self::pending::PendingAnnouncements;
 use crate::back_ends::SharedNotices;
 use crate::datagrams::Datagrams;
-use crate::engine_ends::SharedEngineTerminations;
+use crate::engine_terminations::SharedEngineTerminations;
 use crate::knowledge::SharedKnowledge;
 use crate::metrics::{NodeMessageKind, RelayMetrics};
 
@@ -127,7 +127,7 @@
 
     /// Records the cached parts that an engine itself reported.
     pub fn record_cached_parts(&self, engine: &BackEndId, parts: Vec<PromptPart>) {
-        let announced = parts.into_iter().map(|part| AnnouncedPart { part, brought_since: 0 });
+        let announced = parts.into_iter().map(|part| AnnouncedPart { part, added_since: 0 });
         let cached = CachedParts { engine: engine.clone(), parts: announced.collect() };
         self.shared.index.borrow_mut().merge_cached_parts(cached, self.shared.clock.now());
     }
@@ -165,7 +165,7 @@
     /// Records that `engine` received the KV cache of `prompt` from another engine and began its answer `took` after
     /// the request was sent to it.
     pub fn record_cache_transfer(&self, engine: &BackEndId, prompt: &Prompt, took: Duration) {
-        self.shared.index.borrow_mut().record_move(engine, prompt, took, self.shared.clock.now());
+        self.shared.index.borrow_mut().record_cache_transfer(engine, prompt, took, self.shared.clock.now());
         self.notify_prefill_change();
     }
 
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -26,7 +26,7 @@
 
 use crate::back_ends::SharedNotices;
 use crate::cache_survey::survey;
-use crate::callers::{CallerServer, LAST_CONNECTIONS_PATIENCE, ServerPhase, Traffic, listen};
+use crate::callers::{CallerServer, LAST_CONNECTIONS_GRACE, ServerPhase, Traffic, listen};
 use crate::control::{BlockStoreLink, ControlSettings, DutySettings, Platform, SharedWithTraffic, block_links, spawn};
 use crate::demand::SharedDemand;
 use crate::knowledge::{Knowledge, SharedKnowledge, SharedTimestamp};
@@ -97,7 +97,7 @@
     let (blocks, blocks_receiver) = block_links();
     let _control = spawn(control, protocol.clone(), platform, shared.clone(), blocks_receiver)?;
     let traffic = Rc::new(Traffic::new(protocol, shared, settings.retry_budget(), settings.placement));
-    traffic.set_revocation(settings.keys.revocation());
+    traffic.set_revocation_limit(settings.keys.revocation());
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let mut node = RunningNode { settings, read_settings, seeds, duties, traffic };
     LocalSet::new().block_on(&runtime, node.serve(blocks))
@@ -128,7 +128,7 @@
         self.seeds.send_replace(read.seeds.clone());
         self.duties.send_replace(read.duty_settings());
         self.traffic.usage.set_config(read.usage);
-        self.traffic.set_revocation(read.keys.revocation());
+        self.traffic.set_revocation_limit(read.keys.revocation());
         self.settings = read;
         let placement = self.traffic.placement();
         log::info!(event = "reloaded", seeds = self.settings.seeds.len(), placement:? = placement, stages:? = self.settings.stages, needs_restart; "");
@@ -211,12 +211,12 @@
 async fn stop<P>(grace: Duration, traffic: &Traffic<P>, phase: &watch::Sender<ServerPhase>) {
     let began = Instant::now();
     let deadline = began + grace.saturating_sub(STOP_RESERVE);
-    traffic.leaving.set(true);
+    traffic.stopping.set(true);
     log::info!(event = "stopping", open_requests = traffic.active.count(); "");
     sleep(ACCEPT_WHILE_DRAINING.min(grace / 2)).await;
     phase.send_replace(ServerPhase::Closing);
     // Connections that were just accepted get a moment for their first request before open requests are counted.
-    sleep(LAST_CONNECTIONS_PATIENCE + 2 * STOP_POLL_INTERVAL).await;
+    sleep(LAST_CONNECTIONS_GRACE + 2 * STOP_POLL_INTERVAL).await;
     while traffic.active.count() > 0 && Instant::now() < deadline {
         sleep(STOP_POLL_INTERVAL).await;
     }
@@ -229,7 +229,7 @@
 type StatusResponse = Response<Full<Bytes>>;
 
 fn readiness<P>(traffic: &Traffic<P>) -> StatusResponse {
-    let ready = !traffic.leaving.get() && traffic.knowledge.load().is_complete();
+    let ready = !traffic.stopping.get() && traffic.knowledge.load().is_complete();
     let mut response = Response::new(Full::new(Bytes::from_static(if ready { b"ready" } else { b"not ready" })));
     if !ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -247,7 +247,7 @@
         directory_age: confirmed_at.map(|confirmed_at| now.since(confirmed_at)),
         repeats_left: traffic.repeats_left(),
         late_stretch: traffic.late_stretch(),
-        blocked_contents: traffic.peer_notices.engine_terminations().blocked(),
+        blocked_contents: traffic.peer_notices.engine_terminations().blocked_count(),
     });
     match traffic.metrics.encode() {
         Ok(text) => Response::new(Full::new(Bytes::from(text))),
--- a/crates/relay/tests/peer_notices.rs
+++ b/crates/relay/tests/peer_notices.rs
@@ -165,17 +165,17 @@
         // Terminations are announced as ages, to which the delay of the message adds: the answer has to be clearly
         // later.
         sleep(20 * POLL_INTERVAL).await;
-        here.peer_notices.engine_terminations().record_served(popular_content);
-        assert_eq!(there.peer_notices.engine_terminations().blocked(), 1);
+        here.peer_notices.engine_terminations().record_answered(popular_content);
+        assert_eq!(there.peer_notices.engine_terminations().blocked_count(), 1);
         // Both have sent all pending announcements, to no receiver, before they know each other.
         wait_until(|| {
-            !here.peer_notices.engine_terminations().has_unannounced()
-                && !there.peer_notices.engine_terminations().has_unannounced()
+            !here.peer_notices.engine_terminations().has_pending()
+                && !there.peer_notices.engine_terminations().has_pending()
         })
         .await;
         here.set_peers(&[&there]);
         there.set_peers(&[&here]);
-        wait_until(|| there.peer_notices.engine_terminations().blocked() == 0).await;
+        wait_until(|| there.peer_notices.engine_terminations().blocked_count() == 0).await;
         assert!(!here.peer_notices.engine_terminations().is_suspect(popular_content));
     };
     LocalSet::new().run_until(test).await;
--- a/crates/relay/tests/wire_samples/mod.rs
+++ b/crates/relay/tests/wire_samples/mod.rs
@@ -79,7 +79,7 @@
         first_finished: 12,
         finished: vec![FinishedPrefill { engine: tag(4), shared_parts: vec![part], tokens: 17_000 }],
     };
-    let cached = CachedParts { engine: back_end_id(), parts: vec![AnnouncedPart { part, brought_since: 5 }] };
+    let cached = CachedParts { engine: back_end_id(), parts: vec![AnnouncedPart { part, added_since: 5 }] };
     let run = ReportedRun { content: content(), ran_micros: 900 };
     let terminations = TerminationNotice {
         sender,
@@ -172,7 +172,7 @@
         directory: Some(directory),
         ages: KnowledgeAges {
             configuration_millis: Some(10),
-            configuration_shown_millis: None,
+            configuration_current_millis: None,
             directory_millis: Some(20),
         },
         waited_millis: 400,
