--- a/crates/core/src/authority/engine_state.rs
+++ b/crates/core/src/authority/engine_state.rs
@@ -42,9 +42,9 @@
 /// Why a change of an engine was given up. The engine keeps its role and weights until its target changes.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// the engine restarted at each attempt to change it
+    /// the engine restarted each time that it was to change
     Crashed,
-    /// the engine accepted the order but does not have the state that the order requested
+    /// the engine accepted the order but is not what the order asked for
     NotEffective,
     /// the engine refused the order
     Refused,
--- a/crates/core/src/authority/order.rs
+++ b/crates/core/src/authority/order.rs
@@ -110,11 +110,11 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Readable, Writable, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderRefusal {
-    /// the order is for another incarnation of the engine process
+    /// the order is meant for another life of the engine process
     OtherIncarnation,
     /// the term is lower than the engine's fence
     StaleTerm,
-    /// the engine holds an order other than the one to be replaced
+    /// the engine holds another order than the one to be replaced
     ReplacesOther,
     /// the engine is still executing an order
     Busy,
--- a/crates/core/src/configuration/record.rs
+++ b/crates/core/src/configuration/record.rs
@@ -87,7 +87,7 @@
         /// The latest version.
         latest: ConfigurationVersion,
     },
-    /// {maximum} versions are already waiting to come into force
+    /// {maximum} versions are waiting to come into force already
     TooManyPending {
         /// The maximum number of waiting versions.
         maximum: usize,
--- a/crates/core/src/configuration/replacement.rs
+++ b/crates/core/src/configuration/replacement.rs
@@ -32,14 +32,14 @@
 /// The reason why a change can't be applied to this configuration. The configuration is unchanged.
 #[derive(Clone, Debug, Display, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// {kind} `{name}` does not have the value that the change expects
+    /// {kind} `{name}` is not as the change expects it
     OtherValue {
         /// The kind of item.
         kind: &'static str,
         /// The item's name.
         name: String,
     },
-    /// a change of a {kind} has neither an old nor a new value, or its old and new value name different items
+    /// a change of a {kind} has neither an old nor a new value, or two that name different items
     Malformed {
         /// The kind of item.
         kind: &'static str,
--- a/crates/core/src/plan/planner.rs
+++ b/crates/core/src/plan/planner.rs
@@ -30,20 +30,20 @@
 /// The reason why no plan was made; nothing is changed.
 #[derive(Clone, Debug, Display, PartialEq, thiserror::Error)]
 pub enum PlanError {
-    /// the intent results in an invalid configuration: {0:?}
+    /// the intent leads to no valid configuration: {0:?}
     Invalid(Vec<ConfigurationError>),
     /// the intent changes nothing
     NothingToChange,
-    /// engine `{engine}` can't be taken out of service without violating a floor of model `{model}`
+    /// engine `{engine}` can't go out of service without going below a floor of model `{model}`
     FloorBlocks {
         /// The first engine to be changed.
         engine: EngineName,
         /// Its model.
         model: ModelName,
     },
-    /// the changes can't be applied to their base version: {0}
+    /// the changes can't be applied to the version that they were made from: {0}
     Changes(ChangeError),
-    /// the changes can't be serialized
+    /// the changes can't be written as text
     Unwritable,
 }
 
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -69,9 +69,9 @@
     DeadlinePassed,
     /// the node is leaving
     NodeLeaving,
-    /// the node can't confirm that its peers still consider it live
+    /// the node can't tell whether its peers still count on it
     NodeSuspended,
-    /// no engine can accept the request now
+    /// no engine can take the request now
     NoEngine,
     /// the request was revoked before it was started
     Revoked,
@@ -87,9 +87,9 @@
     CallerGone,
     /// too many requests are repeated already
     RetryBudgetSpent,
-    /// the engines that ran the request so far terminated while running it
+    /// the engines that ran the request so far have ended under it
     EndsEngines,
-    /// all back ends that could serve the request are backing off or at their limit
+    /// all back ends that could take the request have asked for rest, or are at their limit
     BackEndsRest,
 }
 
@@ -139,7 +139,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Readable, Writable, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MayHaveRun {
-    /// the engine's stream ended before the answer was complete
+    /// the engine's stream ended before the answer was whole
     AnswerCut,
     /// the engine failed after the request was sent to it
     EngineFailed,
@@ -153,7 +153,7 @@
     KeyUsed,
     /// an engine failed, and too many requests are repeated already to send it again
     RetryBudgetSpent,
-    /// the engines that ran the request terminated while running it
+    /// the engines that ran the request have ended under it
     EndsEngines,
 }
 
--- a/crates/node/src/callers/body.rs
+++ b/crates/node/src/callers/body.rs
@@ -160,8 +160,8 @@
     let text = match (kind, prompt, messages) {
         (CompletionKind::Text, Some(RawPrompt::One(text) | RawPrompt::List([text])), None) => text,
         (CompletionKind::Chat, None, Some(messages)) => chat_prompt(messages),
-        (CompletionKind::Text, ..) => return Err(CallerError::invalid("`prompt` is required, not `messages`")),
-        (CompletionKind::Chat, ..) => return Err(CallerError::invalid("`messages` is required, not `prompt`")),
+        (CompletionKind::Text, ..) => return Err(CallerError::invalid("`prompt` is needed, and no `messages`")),
+        (CompletionKind::Chat, ..) => return Err(CallerError::invalid("`messages` is needed, and no `prompt`")),
     };
     if text.trim().is_empty() {
         return Err(CallerError::invalid("the prompt is empty"));
--- a/crates/node/src/callers/check.rs
+++ b/crates/node/src/callers/check.rs
@@ -113,7 +113,7 @@
         return Ok(());
     }
     Err(CallerError::invalid(format!(
-        "the prompt has about {} tokens, {needed} with max_tokens; an engine of the model holds at most {capacity}",
+        "the prompt has about {} tokens, with max_tokens {needed}; an engine of the model holds {capacity}",
         prompt.tokens
     )))
 }
--- a/crates/node/src/callers/headers.rs
+++ b/crates/node/src/callers/headers.rs
@@ -77,7 +77,7 @@
     let mut values = request.headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(CallerError::invalid(format!("header `{name}` occurs more than once")));
+        return Err(CallerError::invalid(format!("header `{name}` stands twice")));
     }
     let text = value.to_str().map_err(|_| CallerError::invalid(format!("header `{name}` is not visible ASCII")))?;
     Ok(Some(text))
