--- a/crates/core/src/relay/attribution.rs
+++ b/crates/core/src/relay/attribution.rs
@@ -1,8 +1,9 @@
 //! Attributes the termination of an engine to one of the requests that ran there.
 //!
-//! A request that terminates its engines also interrupts the requests that run beside it. Those are interrupted as
-//! often as chance places them there; the culprit is present each time. So a termination is attributed to one request
-//! only, the one under which most engines terminated, and no longer counts against the others.
+//! A request that terminates its engines also interrupts the requests that run beside it. The others are interrupted
+//! only when they happen to run on the same engine; the culprit is present each time. So a termination is attributed to
+//! one request only, the one during whose runs the most engines terminated, and then no longer counts against the
+//! others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -24,7 +25,7 @@
 pub struct Attribution {
     /// The request.
     pub content: ContentId,
-    /// The terminations that count against it, including those that are also attributed to another request.
+    /// The number of terminations that count against it, including those that are also attributed to another request.
     pub terminations: usize,
     /// The time of the last of them.
     pub last: Timestamp,
@@ -33,19 +34,20 @@
 /// When terminations count against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttributionRules {
-    /// The number of terminations from which a request is blocked.
+    /// The number of terminations at which a request is blocked.
     pub threshold: usize,
-    /// Engines that terminate within this time of each other, as those of one rack do, are assumed to have one common
-    /// cause and count once; unless the request was sent to the second engine only after the first had terminated.
+    /// Terminations within this time of each other, as when several engines of one rack fail, are assumed to have a
+    /// common cause and count once, unless the request was sent to the second engine only after the first had
+    /// terminated.
     pub coincidence_window: Duration,
 }
 
-/// Returns the requests that `terminations`, sorted from the oldest, are attributed to.
+/// Returns the requests that `terminations`, sorted oldest first, are attributed to.
 ///
-/// The request with most terminations is handled first, and terminations attributed to it do not count against the
-/// others. Where two requests have equally many, and removing those of one would leave the other below the threshold,
-/// the culprit can't be determined: neither is attributed until the next termination distinguishes them, or until both
-/// reach twice the threshold.
+/// The request with the most terminations is handled first, and terminations attributed to it do not count against the
+/// others. If two requests have equally many, and removing those of one would leave the other below the threshold, the
+/// culprit can't be determined: nothing is attributed to either until another termination distinguishes them, or until
+/// both reach twice the threshold.
 pub fn attribute_terminations(terminations: &[EngineTermination], rules: &AttributionRules) -> Vec<Attribution> {
     let count = |content: &ContentId, indices: &BTreeSet<usize>| {
         distinct_terminations(terminations, *content, indices, rules.coincidence_window)
--- a/crates/core/src/relay/engine_terminations.rs
+++ b/crates/core/src/relay/engine_terminations.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Records that `engine` terminated at `at` while doing `runs` for this node. Returns the requests that are newly
+    /// Records that `engine` terminated at `at` while running `runs` for this node. Returns the requests that are newly
     /// blocked.
     pub fn record_termination(&mut self, engine: EngineTag, runs: &[TerminatedRun], at: Timestamp) -> Vec<Attribution> {
         let remaining = self.config.transmissions;
--- a/crates/core/src/relay/moves.rs
+++ b/crates/core/src/relay/moves.rs
@@ -1,23 +1,24 @@
 //! Estimates how long transfers of KV caches take, without the wait at the engine that answers.
 //!
 //! A node only observes when the answer to a prompt with a transferred cache begins. That time includes the engine's
-//! queue and step, which grow with the prompts that are prefilled there; and nodes prefill there when transfers look
-//! slow. So the wait is subtracted from each sample, and the estimate fades back to the prior. Without either, an
-//! overload of a few seconds outlives its cause: transfers look slow, prompts are prefilled at the engines that answer,
-//! and no transfer is made that could correct the estimate.
+//! queue time and step time, which grow with the prompts that are prefilled there; and nodes prefill prompts there when
+//! transfers look slow. So the wait is subtracted from each sample, and the estimate decays to the prior. Without these
+//! two measures, an overload of a few seconds outlives its cause: transfers look slow, prompts are prefilled at the
+//! engines that answer, and no transfer is made that could correct the estimate.
 
 use std::time::Duration;
 
 use super::quantile_estimate::{Estimate, QuantileEstimate};
 use crate::time::Timestamp;
 
-/// The share of samples that lies below the estimate.
+/// The share of samples that lie below the estimate.
 const QUANTILE: f64 = 0.5;
 
 /// The estimate without samples, in milliseconds per 1,000 tokens.
 const PRIOR: f64 = 1.0;
 
-/// The minimum duration of a transfer in milliseconds. The subtracted wait may be longer than the wait in this sample.
+/// The minimum duration of a transfer in milliseconds, needed because the subtracted wait is an estimate and may exceed
+/// the actual wait in the sample.
 const MINIMUM_MILLIS: f64 = 0.1;
 
 /// The weight of one answer in the estimate of the wait, on a logarithmic scale: about four answers dominate it.
@@ -34,7 +35,7 @@
 /// A node's estimate of the duration of transfers.
 #[derive(Clone, Copy, Debug)]
 pub struct Moves {
-    /// In milliseconds per 1,000 tokens, as of the last transfer.
+    /// The duration of a transfer in milliseconds per 1,000 tokens, as of the last transfer.
     estimate: QuantileEstimate,
     moved_at: Timestamp,
     /// The logarithm of the milliseconds that engines recently took to begin answers that needed no large transfer.
--- a/crates/core/src/world/back_end_id.rs
+++ b/crates/core/src/world/back_end_id.rs
@@ -51,7 +51,7 @@
         self.started
     }
 
-    /// Whether an announcement of a back end of this name that started at `announced` may come from this incarnation.
+    /// Whether this may be the incarnation that announced the start time `announced`, given that the names are equal.
     pub fn may_be_same_incarnation(&self, announced: Option<StartMoment>) -> bool {
         match (self.started, announced) {
             (Some(known), Some(announced)) => known == announced,
--- a/crates/relay/src/broken_runs.rs
+++ b/crates/relay/src/broken_runs.rs
@@ -1,4 +1,4 @@
-//! Runs of requests that back terminations interrupted, and whether those back terminations have terminated.
+//! Runs of requests that back ends interrupted, and whether those back ends have terminated.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -47,7 +47,7 @@
     }
 }
 
-/// The runs that back terminations interrupted. Clones share the state.
+/// The runs that back ends interrupted. Clones share the state.
 #[derive(Clone)]
 pub struct BrokenRuns {
     shared: Rc<Shared>,
@@ -81,7 +81,7 @@
         BrokenRuns { shared: Rc::new(Shared { pool, terminations, clock, metrics, checked, unchecked }) }
     }
 
-    /// Records that `request` is about to be sent to `back_end`, either to be run or for the prefill alone.
+    /// Records that `request` is about to be sent to `back_end`, either for a complete run or for its prefill alone.
     pub fn begin(&self, back_end: &BackEnd, content: ContentId, request: &str, is_prefill: bool) -> Run {
         let sent_at = self.shared.clock.now();
         let details =
--- a/crates/relay/src/callers/exchange_driver.rs
+++ b/crates/relay/src/callers/exchange_driver.rs
@@ -170,8 +170,8 @@
     }
 
     /// Gives a request up if its content is blocked because engines have terminated while running it, at any node: it
-    /// would terminate the next engine too, with all requests there. Without this check, each copy of such a request
-    /// terminated as many engines as its route allows attempts.
+    /// would terminate the next engine too and interrupt all requests there. Without this check, each copy of such a
+    /// request would terminate as many engines as its route allows attempts.
     fn give_up_if_blocked(&self) -> Option<NextStep> {
         self.traffic.peer_notices.engine_terminations().blocked_for(self.request.content)?;
         Some(self.exchange.give_up(NotRunReason::EndsEngines, MayHaveRun::EndsEngines))
--- a/crates/relay/src/engine_terminations.rs
+++ b/crates/relay/src/engine_terminations.rs
@@ -26,18 +26,18 @@
     metrics: RelayMetrics,
     /// Wakes the task that sends notices to peers.
     pending_updates: Notify,
-    /// The newest of the requests that an engine ran for this node when it terminated.
+    /// The most recent requests that engines were running for this node when they terminated.
     own_requests: RefCell<VecDeque<ContentId>>,
-    /// Sends updates to the task that writes them to the store; `None` until the node serves.
+    /// Sends updates to the task that writes them to the store; `None` before `sync_with_store` runs.
     store: RefCell<Option<mpsc::Sender<BlockUpdate>>>,
 }
 
-/// How many of the node's own requests are remembered. Each node for which an engine terminated while running a blocked
-/// request writes the request to the store.
+/// The maximum number of entries in `own_requests`. A blocked request is written to the store by each node for which an
+/// engine terminated while running it.
 const OWN_REQUESTS_MAXIMUM: usize = 256;
 
 impl SharedEngineTerminations {
-    /// Starts without terminations.
+    /// Creates a record without terminations.
     pub fn new(clock: Clock, metrics: RelayMetrics) -> Self {
         SharedEngineTerminations {
             shared: Rc::new(Shared {
@@ -69,7 +69,8 @@
     fn apply(&self, notice: &TerminationNotice, source: &'static str) {
         let attributions = self.shared.terminations.borrow_mut().receive(notice, self.shared.clock.now());
         self.record_attributions(&attributions, source);
-        // The sender may not know of an answer that has cleared a request in its notice.
+        // The notice may contain a request that was cleared by an answer unknown to its sender. That answer is then
+        // announced again.
         self.shared.pending_updates.notify_one();
     }
 
@@ -97,7 +98,7 @@
     pub fn blocked_for(&self, content: ContentId) -> Option<Duration> {
         let terminations = self.shared.terminations.borrow();
         if !terminations.is_attributed(content) {
-            // Nearly all requests end here, more than once each, so this path does not read the clock.
+            // Nearly all requests return here, more than once each, so this path does not read the clock.
             return None;
         }
         let now = self.shared.clock.now();
@@ -109,36 +110,36 @@
         self.shared.terminations.borrow().blocked_count(self.shared.clock.now())
     }
 
-    /// Whether updates are pending announcement to peers.
+    /// Whether announcements to peers are pending.
     pub fn has_pending(&self) -> bool {
         self.shared.terminations.borrow().has_pending()
     }
 
-    /// Waits until updates are pending announcement to peers.
+    /// Waits until announcements to peers are pending.
     pub async fn wait_for_updates(&self) {
         while !self.has_pending() {
             self.shared.pending_updates.notified().await;
         }
     }
 
-    /// The next notice to peers; `None` when no update is pending.
+    /// The next notice to peers; `None` when nothing is pending.
     pub fn notice(&self, sender: Address) -> Option<TerminationNotice> {
         self.shared.terminations.borrow_mut().notice(sender, self.shared.clock.now())
     }
 
-    /// The notice to a newly started node; `None` when no request has attributions.
+    /// The notice to a newly started node; `None` when no terminations are attributed to any request.
     pub fn attribution_notice(&self, sender: Address) -> Option<TerminationNotice> {
         self.shared.terminations.borrow().attribution_notice(sender, self.shared.clock.now())
     }
 
-    /// Removes what has expired.
+    /// Removes expired entries.
     pub fn tidy(&self) {
         let attributions = self.shared.terminations.borrow_mut().tidy(self.shared.clock.now());
         self.record_attributions(&attributions, "another_forgotten");
     }
 
-    /// Applies the blocked requests that are read from the store until the link closes, and has this node's updates
-    /// written to the store.
+    /// Applies blocked requests read from the store until the link closes, and sends this node's updates over the link
+    /// to be written to the store.
     pub async fn sync_with_store(self, mut link: BlockStoreLink) {
         *self.shared.store.borrow_mut() = Some(link.updates);
         while let Some(notice) = link.stored.recv().await {
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -38,8 +38,8 @@
 /// The version of this build.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// How long new connections are still accepted after a planned stop began. By then the load balancer in front of the
-/// nodes has checked readiness twice, a second apart, and sends no more callers.
+/// How long new connections are still accepted after a planned stop has begun. In this time the load balancer in front
+/// of the nodes checks readiness twice, a second apart, and then sends no more callers to this node.
 const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2_600);
 
 /// Reserved from the grace period of a planned stop for the process's own exit.
@@ -54,10 +54,10 @@
 /// How often a node logs its estimates of engines and the bytes that it has sent to other nodes.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The longest that a client of the readiness or metrics endpoint may take to send its head.
+/// The longest that a client of the readiness or metrics endpoint may take to send the request head.
 const STATUS_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How far before its start a node can represent times. Peers report no event that is older.
+/// How far a node's timestamps reach back before its start. Peers report no older events.
 const REPORTABLE_PAST: Duration = Duration::from_secs(24 * 3_600);
 
 /// Runs a node until a stop signal arrives and the stop has completed. `read_settings` reads the settings again for a
@@ -215,12 +215,12 @@
     log::info!(event = "stopping", open_requests = traffic.active.count(); "");
     sleep(ACCEPT_WHILE_DRAINING.min(grace / 2)).await;
     phase.send_replace(ServerPhase::Closing);
-    // Connections that were just accepted get a moment for their first request before open requests are counted.
+    // Leaves time for the first request on connections that were just accepted, before open requests are counted.
     sleep(LAST_CONNECTIONS_GRACE + 2 * STOP_POLL_INTERVAL).await;
     while traffic.active.count() > 0 && Instant::now() < deadline {
         sleep(STOP_POLL_INTERVAL).await;
     }
-    // The connections' tasks write the last bytes of the last answer when they run next.
+    // Lets the tasks of the connections run once more to write the last bytes of the last answer.
     sleep(STOP_POLL_INTERVAL).await;
     let took_ms = whole_millis(began.elapsed());
     log::info!(event = "stopped", open_requests = traffic.active.count(), took_ms; "");
@@ -259,7 +259,7 @@
     }
 }
 
-/// Serves one status response at its own address, for every path.
+/// Answers every request at `address` with the response of `respond`, whatever its path.
 fn serve_status<P: Protocol>(
     address: Address,
     traffic: Rc<Traffic<P>>,
